--- a/boragegw/decisions/_readers.py
+++ b/boragegw/decisions/_readers.py
@@ -28,7 +28,9 @@
         local = [m for m in members if m.data_centre == identity.data_centre]
         if all(member.name != identity.name for member in local):
             local.append(identity)
-        ranked = utils.rank("readers", local, identity=lambda member: member.name)
+        ranked = utils.rendezvous_rank(
+            "readers", local, identity=lambda member: member.name
+        )
         return any(m.name == identity.name for m in ranked[: self.readers])
 
     def must_read(self, confirmed_at, now):
--- a/boragegw/decisions/_subset.py
+++ b/boragegw/decisions/_subset.py
@@ -24,7 +24,9 @@
         :param size: entries wanted; data centres in sight may make it more.
         """
         self._check_params()
-        ranked = utils.rank(service, members, identity=lambda member: member.name)
+        ranked = utils.rendezvous_rank(
+            service, members, identity=lambda member: member.name
+        )
         firsts = {}
         for member in ranked:
             firsts.setdefault(member.data_centre, member)
@@ -44,12 +46,12 @@
         :param caller: any stable text that tells callers apart.
         """
         subset = self.subset(service, members, size)
-        ordered = utils.rank(
+        ordered = utils.rendezvous_rank(
             f"{service}/{caller}", subset, identity=lambda member: member.name
         )
         ordered.sort(key=lambda member: member.data_centre != data_centre)
         names = {member.name for member in subset}
-        rest = utils.rank(
+        rest = utils.rendezvous_rank(
             service,
             [member for member in members if member.name not in names],
             identity=lambda member: member.name,
@@ -70,7 +72,7 @@
         local = [m for m in subset if m.data_centre == vm.data_centre]
         if not local and vm.data_centre in listed_data_centres:
             return None
-        ranked = utils.rank(
+        ranked = utils.rendezvous_rank(
             vm.name, local or subset, identity=lambda member: member.name
         )
         return ranked[0] if ranked else None
--- a/boragegw/gateway/_catalogue.py
+++ b/boragegw/gateway/_catalogue.py
@@ -36,7 +36,7 @@
         self._records = {}
         self._previous = {}
         self._retained = {}
-        self._told = utils.Recent(TELLERS)
+        self._told = utils.BoundedDict(TELLERS)
         self._history = _history.History(log)
         self._listings = _listings.Listings(
             board,
--- a/boragegw/gateway/_choice.py
+++ b/boragegw/gateway/_choice.py
@@ -101,7 +101,9 @@
         return {
             name
             for data_centre, group in groups.items()
-            for name in utils.rank(data_centre, _best_linked(group))[:WATCHERS]
+            for name in utils.rendezvous_rank(data_centre, _best_linked(group))[
+                :WATCHERS
+            ]
         }
 
     def best_peer(self):
--- a/boragegw/gateway/_fanout.py
+++ b/boragegw/gateway/_fanout.py
@@ -53,7 +53,7 @@
 
 def _ordered(members):
     key = members[0].data_centre
-    ranked = utils.rank(key, members, identity=lambda member: member.name)
+    ranked = utils.rendezvous_rank(key, members, identity=lambda member: member.name)
     return sorted(ranked, key=lambda member: (not is_root(member), -member.link))
 
 
--- a/boragegw/gateway/_history.py
+++ b/boragegw/gateway/_history.py
@@ -25,7 +25,7 @@
         self.misses = 0
         self.start = 0
         self.consistent = False
-        self._deleted = utils.Recent(DELETIONS)
+        self._deleted = utils.BoundedDict(DELETIONS)
         self._unexplained = set()
         self._unexplained_at = -1
 
--- a/boragegw/gateway/_reconciliation.py
+++ b/boragegw/gateway/_reconciliation.py
@@ -44,7 +44,7 @@
         self.now = now
         self.random_state = random_state
         self.log = log
-        self._asked = utils.Recent(REMEMBERED)
+        self._asked = utils.BoundedDict(REMEMBERED)
         self._avoided = {}
 
     async def run(self):
--- a/boragegw/gateway/_reports.py
+++ b/boragegw/gateway/_reports.py
@@ -37,7 +37,7 @@
 
     def __init__(self):
         self._listed = {}
-        self._departed = utils.Recent(DEPARTED)
+        self._departed = utils.BoundedDict(DEPARTED)
 
     def newest(self, key):
         """Return the newest :class:`Report` of the server ``key``, or ``None``."""
--- a/boragegw/utils/__init__.py
+++ b/boragegw/utils/__init__.py
@@ -1,9 +1,9 @@
 """Helpers without knowledge of load balancing."""
 
+from boragegw.utils._bounded_dict import BoundedDict
 from boragegw.utils._clock import Clock, LoopClock, ManualClock
-from boragegw.utils._hashing import rank, stable_hash
+from boragegw.utils._hashing import rendezvous_rank, stable_hash
 from boragegw.utils._parameters import Interval, InvalidParameterError, Parameterized
-from boragegw.utils._recent import Recent
 from boragegw.utils._tasks import TaskSet
 from boragegw.utils._tokens import TokenBucket
 from boragegw.utils._virtual_time import VirtualTimeLoop, run_virtual
@@ -15,11 +15,11 @@
     "LoopClock",
     "ManualClock",
     "Parameterized",
-    "Recent",
+    "BoundedDict",
     "TaskSet",
     "TokenBucket",
     "VirtualTimeLoop",
-    "rank",
+    "rendezvous_rank",
     "run_virtual",
     "stable_hash",
 ]
--- a/boragegw/utils/_hashing.py
+++ b/boragegw/utils/_hashing.py
@@ -12,7 +12,7 @@
     return int.from_bytes(digest, "big")
 
 
-def rank(key, nodes, *, identity=str):
+def rendezvous_rank(key, nodes, *, identity=str):
     """Return ``nodes`` in rendezvous order for ``key``, the first choice first.
 
     Removing a node moves only the keys that had it first.
