--- a/boragegw/backends/_base.py
+++ b/boragegw/backends/_base.py
@@ -70,7 +70,7 @@
 class BackendAnswer:
     """The head of a backend server's answer and its body to come.
 
-    :param body: async iterator; raises ``TruncatedAnswerError`` if it breaks off.
+    :param body: async iterator; raises ``TruncatedResponseError`` if it breaks off.
     :param report: the load report, or ``None``.
     """
 
--- a/boragegw/backends/_http.py
+++ b/boragegw/backends/_http.py
@@ -46,7 +46,7 @@
                 chunk = await anext(self._chunks, None)
         except (TimeoutError, httpcore.NetworkError, httpcore.ProtocolError) as error:
             self._give_up()
-            raise errors.TruncatedAnswerError(type(error).__name__) from error
+            raise errors.TruncatedResponseError(type(error).__name__) from error
         except BaseException:
             self._give_up()
             raise
@@ -74,7 +74,7 @@
                 size += len(chunk)
                 if size > DISCARD_LIMIT:
                     self._give_up()
-        except errors.TruncatedAnswerError:
+        except errors.TruncatedResponseError:
             self._give_up()
 
 
--- a/boragegw/backends/tests/test_transport_contract.py
+++ b/boragegw/backends/tests/test_transport_contract.py
@@ -168,7 +168,7 @@
 
 def test_truncated_body_raises_and_its_connection_is_not_used_again():
     async def scenario(transport, server):
-        with pytest.raises(errors.TruncatedAnswerError):
+        with pytest.raises(errors.TruncatedResponseError):
             await exchange(transport, server)
         await exchange(transport, server)
         return server.connections
--- a/boragegw/decisions/_retries.py
+++ b/boragegw/decisions/_retries.py
@@ -40,7 +40,7 @@
         :param deadline: monotonic seconds.
         """
         self._check_params()
-        if not (idempotent or verdict.permits_second_attempt):
+        if not (idempotent or verdict.allows_retry):
             return False
         if made >= self.attempts or left < 1:
             return False
--- a/boragegw/entry/_application.py
+++ b/boragegw/entry/_application.py
@@ -168,7 +168,7 @@
         }
         try:
             await self._send_parts(answer, send, start, method == "HEAD")
-        except errors.TruncatedAnswerError as error:
+        except errors.TruncatedResponseError as error:
             self.board.counters["requests.broken_off"] += 1
             logger.warning("answer broken off: %s", error)
         except TimeoutError:
--- a/boragegw/entry/_bodies.py
+++ b/boragegw/entry/_bodies.py
@@ -91,7 +91,7 @@
         while True:
             try:
                 chunk = await anext(self._body)
-            except errors.TruncatedAnswerError as error:
+            except errors.TruncatedResponseError as error:
                 await self._continue(error)
                 continue
             self._offset += len(chunk)
--- a/boragegw/entry/_executor.py
+++ b/boragegw/entry/_executor.py
@@ -310,7 +310,7 @@
     async def _resume(self, call, broken, offset, etag):
         """Return the body of a partial answer from ``offset`` on."""
         if not call.service.retry_budget.take(self.clock.now()):
-            raise errors.TruncatedAnswerError("no retry budget to go on")
+            raise errors.TruncatedResponseError("no retry budget to go on")
         self.board.counters["requests.resumed"] += 1
         deadline = self.clock.now() + call.service.settings.deadline
         request = dataclasses.replace(call.request, deadline=deadline)
@@ -327,7 +327,7 @@
         answer = await self._attempt(further, backend, "resume", True)
         if not _bodies.continues_at(answer, offset, etag):
             await answer.aclose()
-            raise errors.TruncatedAnswerError("the content has changed")
+            raise errors.TruncatedResponseError("the content has changed")
         return answer.body
 
     def _after_failure(self, call, error):
--- a/boragegw/entry/_home.py
+++ b/boragegw/entry/_home.py
@@ -95,7 +95,7 @@
             outcome = await self._collect(execution, answer)
         except errors.RequestError as error:
             outcome = error
-        except errors.TruncatedAnswerError as error:
+        except errors.TruncatedResponseError as error:
             outcome = errors.RequestError(
                 errors.Code.ATTEMPT_FAILED, error.detail, errors.Verdict.MAY_HAVE_RUN
             )
--- a/boragegw/entry/tests/histories.py
+++ b/boragegw/entry/tests/histories.py
@@ -218,7 +218,7 @@
                 answer, body = await self.fleet.request(
                     index, "filing", "POST", target, b"amount=5", key, deadline=1.0
                 )
-        except (TimeoutError, ConnectionResetError, errors.TruncatedAnswerError):
+        except (TimeoutError, ConnectionResetError, errors.TruncatedResponseError):
             return
         code = dict(answer.headers).get(b"boragegw-code", b"").decode()
         self.answers.append(
--- a/boragegw/errors/__init__.py
+++ b/boragegw/errors/__init__.py
@@ -6,7 +6,7 @@
     ConfigurationError,
     PlatformError,
     RequestError,
-    TruncatedAnswerError,
+    TruncatedResponseError,
 )
 from boragegw.errors._problem import ProblemDocument, problem_document
 from boragegw.errors._verdict import Verdict
@@ -18,7 +18,7 @@
     "PlatformError",
     "ProblemDocument",
     "RequestError",
-    "TruncatedAnswerError",
+    "TruncatedResponseError",
     "Verdict",
     "problem_document",
 ]
--- a/boragegw/errors/_errors.py
+++ b/boragegw/errors/_errors.py
@@ -73,7 +73,7 @@
         return cls(code, detail, _verdict.Verdict.NOT_RUN, retry_after)
 
 
-class TruncatedAnswerError(BoragegwError):
+class TruncatedResponseError(BoragegwError):
     """An answer ended before it was whole; it must not be passed on as whole."""
 
     def __init__(self, detail):
--- a/boragegw/errors/_verdict.py
+++ b/boragegw/errors/_verdict.py
@@ -15,6 +15,6 @@
     RAN = "ran"
 
     @property
-    def permits_second_attempt(self):
+    def allows_retry(self):
         """Whether even a non-idempotent request may be sent again."""
         return self is Verdict.NOT_RUN
--- a/boragegw/messages/_answer.py
+++ b/boragegw/messages/_answer.py
@@ -13,7 +13,7 @@
 @dataclasses.dataclass(slots=True)
 class Answer:
     """One answer; its body is an async iterator that raises
-    :class:`~boragegw.errors.TruncatedAnswerError` if it breaks off.
+    :class:`~boragegw.errors.TruncatedResponseError` if it breaks off.
 
     :param headers: pairs of bytes, names in lower case.
     """
--- a/boragegw/peers/_http.py
+++ b/boragegw/peers/_http.py
@@ -171,6 +171,6 @@
         async for chunk in response.aiter_raw():
             yield chunk
     except httpx.HTTPError as error:
-        raise errors.TruncatedAnswerError(repr(error)) from error
+        raise errors.TruncatedResponseError(repr(error)) from error
     finally:
         await response.aclose()
--- a/boragegw/server/_peer_application.py
+++ b/boragegw/server/_peer_application.py
@@ -161,7 +161,7 @@
             part = {"type": "http.response.body", "body": chunk, "more_body": True}
             await send(part)
         await send({"type": "http.response.body", "body": b""})
-    except errors.TruncatedAnswerError as error:
+    except errors.TruncatedResponseError as error:
         logger.warning("forwarded answer broken off: %s", error)
     finally:
         await answer.aclose()
--- a/boragegw/standins/_virtual_fleet.py
+++ b/boragegw/standins/_virtual_fleet.py
@@ -221,7 +221,7 @@
         """Send one request to an entry; return its answer and the whole body.
 
         :raises ConnectionResetError: if the entry dies meanwhile.
-        :raises TruncatedAnswerError: if the answer breaks off.
+        :raises TruncatedResponseError: if the answer breaks off.
         """
         node = self.entries.get(index)
         if node is None:
--- a/boragegw/standins/_virtual_transport.py
+++ b/boragegw/standins/_virtual_transport.py
@@ -170,5 +170,5 @@
     half = len(content) // 2
     yield content[:half]
     if truncated:
-        raise errors.TruncatedAnswerError("broke off")
+        raise errors.TruncatedResponseError("broke off")
     yield content[half:]
