--- a/boragegw/backends/_http.py
+++ b/boragegw/backends/_http.py
@@ -142,13 +142,13 @@
         headers = [
             (b"host", attempt.vm.address.encode()),
             *attempt.headers,
-            (_headers.ATTEMPT, attempt.attempt_id.encode()),
+            (_headers.ATTEMPT_HEADER, attempt.attempt_id.encode()),
         ]
         content = attempt.content
         if content is not None:
             if content or attempt.method not in ("GET", "HEAD", "OPTIONS"):
                 headers.append((b"content-length", str(len(content)).encode()))
-        elif messages.find(attempt.headers, b"content-length") is None:
+        elif messages.find_header(attempt.headers, b"content-length") is None:
             headers.append((b"transfer-encoding", b"chunked"))
         request = httpcore.Request(
             attempt.method,
@@ -188,7 +188,10 @@
         """
         headers = [(key.lower(), value) for key, value in response.headers]
         body = ResponseBody(self, pool, connection, response)
-        if messages.find(headers, _headers.ATTEMPT) != attempt.attempt_id.encode():
+        if (
+            messages.find_header(headers, _headers.ATTEMPT_HEADER)
+            != attempt.attempt_id.encode()
+        ):
             await body.aclose()
             raise _base.AttemptError(
                 _base.Failure.MISMATCH,
@@ -196,17 +199,19 @@
                 f"{attempt.vm.name}: answer to another attempt",
             )
         now = self.clock.now()
-        report = _reports.parse_report(messages.find(headers, _headers.LOAD), now)
-        if messages.find(headers, _headers.VERDICT) == NOT_RUN:
+        report = _reports.parse_report(
+            messages.find_header(headers, _headers.LOAD_HEADER), now
+        )
+        if messages.find_header(headers, _headers.VERDICT_HEADER) == NOT_RUN:
             await body.discard()
             raise _base.AttemptError(
                 _base.Failure.REFUSED,
                 errors.Verdict.NOT_RUN,
                 f"{attempt.vm.name}: refused with status {response.status}",
                 report,
-                _seconds(messages.find(headers, b"retry-after")),
+                _seconds(messages.find_header(headers, b"retry-after")),
             )
-        kept = list(messages.end_to_end(headers))
+        kept = list(messages.end_to_end_headers(headers))
         return _base.BackendAnswer(response.status, kept, body, report)
 
     async def probe(self, vm, timeout):
--- a/boragegw/entry/_application.py
+++ b/boragegw/entry/_application.py
@@ -93,7 +93,7 @@
             request = self._parse(scope, connection, request_id)
             answer = await self.carrier.carry(request)
         except errors.RequestError as error:
-            answer = messages.Answer.from_error(error, request_id)
+            answer = messages.Response.from_error(error, request_id)
         if connection.gone:
             await answer.aclose()
             return
@@ -109,12 +109,12 @@
             raise _bad_request(f"headers above {self.header_bytes} bytes")
         service, target = _split_target(scope)
         deadline = self._deadline(headers, service)
-        key = [v for k, v in headers if k == messages.IDEMPOTENCY_KEY]
+        key = [v for k, v in headers if k == messages.IDEMPOTENCY_KEY_HEADER]
         if len(key) > 1:
             raise _bad_request("more than one Idempotency-Key")
-        retries = _whole_number(headers, messages.RETRIES_LEFT, 0, 10)
-        length = messages.find(headers, b"content-length")
-        chunked = messages.find(headers, b"transfer-encoding") is not None
+        retries = _whole_number(headers, messages.RETRIES_LEFT_HEADER, 0, 10)
+        length = messages.find_header(headers, b"content-length")
+        chunked = messages.find_header(headers, b"transfer-encoding") is not None
         has_body = chunked or (length is not None and length != b"0")
         limits = self._body_limits(service, scope["method"], target)
         if length is not None and int(length) > limits:
@@ -131,7 +131,7 @@
             deadline=deadline,
             key=key[0].decode("latin1") if key else "",
             retries_left=DEFAULT_RETRIES if retries is None else retries,
-            trace=messages.find(headers, messages.TRACEPARENT),
+            trace=messages.find_header(headers, messages.TRACEPARENT_HEADER),
         )
 
     def _body_limits(self, service, method, target):
@@ -143,7 +143,7 @@
         return settings.non_idempotent_body_limit
 
     def _deadline(self, headers, service):
-        stated = _whole_number(headers, messages.DEADLINE, 1, MAX_DEADLINE_MS)
+        stated = _whole_number(headers, messages.DEADLINE_HEADER, 1, MAX_DEADLINE_MS)
         settings = self.board.configuration.services.get(service)
         if stated is not None:
             remaining = stated / 1000
@@ -214,7 +214,7 @@
 
 def _whole_number(headers, name, low, high):
     """Return the whole number in a header, or ``None`` if it is absent."""
-    value = messages.find(headers, name)
+    value = messages.find_header(headers, name)
     if value is None:
         return None
     if value.isdigit() and len(value) <= 10 and low <= int(value) <= high:
--- a/boragegw/entry/_bodies.py
+++ b/boragegw/entry/_bodies.py
@@ -49,19 +49,19 @@
     """Return whether a broken download can go on from another backend server."""
     if request.method != "GET" or answer.status != 200:
         return False
-    if messages.find(request.headers, b"range") is not None:
+    if messages.find_header(request.headers, b"range") is not None:
         return False
-    etag = messages.find(answer.headers, b"etag", b"")
-    length = messages.find(answer.headers, b"content-length")
-    ranges = messages.find(answer.headers, b"accept-ranges", b"")
+    etag = messages.find_header(answer.headers, b"etag", b"")
+    length = messages.find_header(answer.headers, b"content-length")
+    ranges = messages.find_header(answer.headers, b"accept-ranges", b"")
     return etag.startswith(b'"') and length is not None and ranges == b"bytes"
 
 
 def continues_at(answer, offset, etag):
     """Return whether a partial answer continues the download at ``offset``."""
-    if answer.status != 206 or messages.find(answer.headers, b"etag") != etag:
+    if answer.status != 206 or messages.find_header(answer.headers, b"etag") != etag:
         return False
-    value = messages.find(answer.headers, b"content-range", b"")
+    value = messages.find_header(answer.headers, b"content-range", b"")
     match = _CONTENT_RANGE.fullmatch(value)
     return match is not None and int(match[1]) == offset
 
--- a/boragegw/entry/_carrier.py
+++ b/boragegw/entry/_carrier.py
@@ -49,7 +49,7 @@
         try:
             answer = await self._carry(request, note)
         except errors.RequestError as error:
-            answer = messages.Answer.from_error(error, request.request_id)
+            answer = messages.Response.from_error(error, request.request_id)
             note.outcome = error.code.value
             self.board.counters[f"requests.refused.{error.code.value}"] += 1
         else:
@@ -133,7 +133,7 @@
         if service is None:
             raise self.home.refuse(request, lease, _unknown_service())
         request.body.size_limit = service.settings.non_idempotent_body_limit
-        await request.body.read_whole()
+        await request.body.read_all()
         if not self.home.keys.sealed:
             try:
                 self._refuse_if_full_or_stopping()
@@ -147,7 +147,7 @@
         Guards against a second run: the home may be cut off, stopped or gone while an
         earlier copy has run there. Without its word the answer is "may have run".
         """
-        await request.body.read_whole()
+        await request.body.read_all()
         sealed = self.membership.sealed.get(lease.incarnation)
         if sealed is not None:
             return self._from_sealed(sealed, request, lease)
@@ -205,13 +205,13 @@
             if incarnation == self.board.identity.incarnation:
                 answer = await self._at_home(request, lease, note)
             elif incarnation in self.membership.sealed:
-                await request.body.read_whole()
+                await request.body.read_all()
                 sealed = self.membership.sealed[incarnation]
                 answer = self._from_sealed(sealed, request, lease)
             else:
                 return None
         except errors.RequestError as error:
-            answer = messages.Answer.from_error(error, request.request_id)
+            answer = messages.Response.from_error(error, request.request_id)
         note.outcome, note.verdict = str(answer.status), answer.verdict.value
         return answer
 
@@ -219,8 +219,8 @@
 def _stamp(answer, request):
     """Put verdict and request id on an answer once, also on a forwarded one."""
     stamps = {
-        messages.VERDICT: answer.verdict.value.encode(),
-        messages.REQUEST_ID: request.request_id.encode(),
+        messages.VERDICT_HEADER: answer.verdict.value.encode(),
+        messages.REQUEST_ID_HEADER: request.request_id.encode(),
     }
     kept = [header for header in answer.headers if header[0] not in stamps]
     answer.headers[:] = kept + list(stamps.items())
--- a/boragegw/entry/_executor.py
+++ b/boragegw/entry/_executor.py
@@ -10,7 +10,9 @@
 MOVED = (backends.Failure.CALLER, backends.Failure.CLOSED)
 MIN_STALL = 1.0
 STALL_FACTOR = 8.0
-_SKIPPED = frozenset((b"host", b"content-length", b"expect", messages.TRACEPARENT))
+_SKIPPED = frozenset(
+    (b"host", b"content-length", b"expect", messages.TRACEPARENT_HEADER)
+)
 
 
 @dataclasses.dataclass(slots=True)
@@ -95,11 +97,11 @@
     def _call(self, request, service, idempotent, note):
         headers = [
             (key, value)
-            for key, value in messages.end_to_end(request.headers)
+            for key, value in messages.end_to_end_headers(request.headers)
             if key not in _SKIPPED
         ]
         if not request.body.complete:
-            length = messages.find(request.headers, b"content-length")
+            length = messages.find_header(request.headers, b"content-length")
             if length is not None:
                 headers.append((b"content-length", length))
         return _Call(
@@ -264,12 +266,12 @@
         left = request.retries_left if reason == "first" else 0
         headers = [
             *call.headers,
-            (messages.DEADLINE, str(remaining).encode()),
-            (messages.RETRIES_LEFT, str(left).encode()),
-            (messages.REQUEST_ID, request.request_id.encode()),
+            (messages.DEADLINE_HEADER, str(remaining).encode()),
+            (messages.RETRIES_LEFT_HEADER, str(left).encode()),
+            (messages.REQUEST_ID_HEADER, request.request_id.encode()),
         ]
         if span.traceparent is not None:
-            headers.append((messages.TRACEPARENT, span.traceparent))
+            headers.append((messages.TRACEPARENT_HEADER, span.traceparent))
         complete = request.body.complete
         return backends.Attempt(
             attempt_id=attempt_id,
@@ -277,7 +279,7 @@
             method=request.method,
             target=request.target,
             headers=headers,
-            content=request.body.held() if complete else None,
+            content=request.body.content() if complete else None,
             stream=None if complete else request.body.chunks(),
             deadline=request.deadline,
             idempotent=call.idempotent,
@@ -301,11 +303,11 @@
 
         body = _bodies.HeldBody(answer.body, on_end)
         if _bodies.is_resumable(call.request, answer):
-            etag = messages.find(answer.headers, b"etag")
+            etag = messages.find_header(answer.headers, b"etag")
             body = _bodies.ResumingBody(
                 body, lambda offset: self._resume(call, backend, offset, etag)
             )
-        return messages.Answer(answer.status, answer.headers, body, verdict)
+        return messages.Response(answer.status, answer.headers, body, verdict)
 
     async def _resume(self, call, broken, offset, etag):
         """Return the body of a partial answer from ``offset`` on."""
--- a/boragegw/entry/_home.py
+++ b/boragegw/entry/_home.py
@@ -18,7 +18,7 @@
     """
 
     outcome: asyncio.Future
-    streamed: messages.Answer | None = None
+    streamed: messages.Response | None = None
     first_waits: bool = True
 
 
@@ -168,6 +168,6 @@
         raise outcome
     failed = outcome.status >= 500
     verdict = errors.Verdict.MAY_HAVE_RUN if failed else errors.Verdict.RAN
-    return messages.Answer.from_bytes(
+    return messages.Response.from_bytes(
         outcome.status, outcome.headers, outcome.body, verdict
     )
--- a/boragegw/entry/tests/test_faults.py
+++ b/boragegw/entry/tests/test_faults.py
@@ -303,7 +303,7 @@
         original = transport.send
 
         async def spy(attempt):
-            left = messages.find(attempt.headers, messages.RETRIES_LEFT)
+            left = messages.find_header(attempt.headers, messages.RETRIES_LEFT_HEADER)
             seen.append(int(left))
             return await original(attempt)
 
--- a/boragegw/messages/__init__.py
+++ b/boragegw/messages/__init__.py
@@ -1,37 +1,37 @@
 """Requests and answers as they pass between interfaces."""
 
-from boragegw.messages._answer import Answer
 from boragegw.messages._body import Body
 from boragegw.messages._headers import (
-    CODE,
-    DEADLINE,
-    HOP_BY_HOP,
-    IDEMPOTENCY_KEY,
-    INTERNAL_PREFIX,
-    LOAD,
-    REQUEST_ID,
-    RETRIES_LEFT,
-    TRACEPARENT,
-    VERDICT,
-    end_to_end,
-    find,
+    CODE_HEADER,
+    DEADLINE_HEADER,
+    HOP_BY_HOP_HEADERS,
+    IDEMPOTENCY_KEY_HEADER,
+    INTERNAL_HEADER_PREFIX,
+    LOAD_HEADER,
+    REQUEST_ID_HEADER,
+    RETRIES_LEFT_HEADER,
+    TRACEPARENT_HEADER,
+    VERDICT_HEADER,
+    end_to_end_headers,
+    find_header,
 )
 from boragegw.messages._request import Request
+from boragegw.messages._response import Response
 
 __all__ = [
-    "CODE",
-    "DEADLINE",
-    "HOP_BY_HOP",
-    "IDEMPOTENCY_KEY",
-    "INTERNAL_PREFIX",
-    "LOAD",
-    "REQUEST_ID",
-    "RETRIES_LEFT",
-    "TRACEPARENT",
-    "VERDICT",
-    "Answer",
+    "CODE_HEADER",
+    "DEADLINE_HEADER",
+    "HOP_BY_HOP_HEADERS",
+    "IDEMPOTENCY_KEY_HEADER",
+    "INTERNAL_HEADER_PREFIX",
+    "LOAD_HEADER",
+    "REQUEST_ID_HEADER",
+    "RETRIES_LEFT_HEADER",
+    "TRACEPARENT_HEADER",
+    "VERDICT_HEADER",
+    "Response",
     "Body",
     "Request",
-    "end_to_end",
-    "find",
+    "end_to_end_headers",
+    "find_header",
 ]
--- a/boragegw/messages/_body.py
+++ b/boragegw/messages/_body.py
@@ -50,7 +50,7 @@
         """Return the digest of the bytes read so far."""
         return self._hash.digest()
 
-    def held(self):
+    def content(self):
         """Return the whole body; it must be complete and within the buffer."""
         return b"".join(self._held)
 
@@ -69,7 +69,7 @@
         while not self._complete and self._size < self.buffer_limit:
             await self._read()
 
-    async def read_whole(self):
+    async def read_all(self):
         """Read to the end, keeping at most the size limit."""
         while not self._complete:
             await self._read()
--- a/boragegw/messages/_headers.py
+++ b/boragegw/messages/_headers.py
@@ -1,18 +1,18 @@
 """Header names, and which headers cross this system."""
 
-INTERNAL_PREFIX = b"boragegw-"
-
-DEADLINE = b"boragegw-deadline-ms"
-RETRIES_LEFT = b"boragegw-retries-left"
-REQUEST_ID = b"boragegw-request-id"
-VERDICT = b"boragegw-verdict"
-CODE = b"boragegw-code"
-ATTEMPT = b"boragegw-attempt"
-LOAD = b"boragegw-load"
-IDEMPOTENCY_KEY = b"idempotency-key"
-TRACEPARENT = b"traceparent"
-
-HOP_BY_HOP = frozenset(
+INTERNAL_HEADER_PREFIX = b"boragegw-"
+
+DEADLINE_HEADER = b"boragegw-deadline-ms"
+RETRIES_LEFT_HEADER = b"boragegw-retries-left"
+REQUEST_ID_HEADER = b"boragegw-request-id"
+VERDICT_HEADER = b"boragegw-verdict"
+CODE_HEADER = b"boragegw-code"
+ATTEMPT_HEADER = b"boragegw-attempt"
+LOAD_HEADER = b"boragegw-load"
+IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
+TRACEPARENT_HEADER = b"traceparent"
+
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -27,7 +27,7 @@
 )
 
 
-def find(headers, name, default=None):
+def find_header(headers, name, default=None):
     """Return the first value of the header ``name`` (lower case), or ``default``."""
     for key, value in headers:
         if key == name:
@@ -35,15 +35,19 @@
     return default
 
 
-def end_to_end(headers):
+def end_to_end_headers(headers):
     """Yield the headers that may cross: neither hop-by-hop nor internal.
 
     Guards against a caller that forges internal headers, and against a backend
     server that answers with a verdict of its own: both would be believed further on.
     """
-    named = find(headers, b"connection", b"")
+    named = find_header(headers, b"connection", b"")
     listed = {part.strip() for part in named.lower().split(b",")} if named else ()
     for key, value in headers:
-        if key in HOP_BY_HOP or key.startswith(INTERNAL_PREFIX) or key in listed:
+        if (
+            key in HOP_BY_HOP_HEADERS
+            or key.startswith(INTERNAL_HEADER_PREFIX)
+            or key in listed
+        ):
             continue
         yield key, value
--- a/boragegw/messages/_request.py
+++ b/boragegw/messages/_request.py
@@ -40,9 +40,9 @@
         It covers the caller's credentials, so that a key guessed or repeated by
         somebody else does not reveal the stored answer. The body must be complete.
         """
-        credentials = _headers.find(self.headers, b"authorization", b"")
-        cookie = _headers.find(self.headers, b"cookie", b"")
-        kind = _headers.find(self.headers, b"content-type", b"")
+        credentials = _headers.find_header(self.headers, b"authorization", b"")
+        cookie = _headers.find_header(self.headers, b"cookie", b"")
+        kind = _headers.find_header(self.headers, b"content-type", b"")
         parts = (
             self.service.encode(),
             self.method.encode(),
--- a/boragegw/messages/_answer.py
+++ b/boragegw/messages/_response.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Answer:
+class Response:
     """One answer; its body is an async iterator that raises
     :class:`~boragegw.errors.TruncatedResponseError` if it breaks off.
 
--- a/boragegw/peers/_base.py
+++ b/boragegw/peers/_base.py
@@ -51,7 +51,7 @@
     async def forward(self, address, incarnation, request):
         """Have the process ``incarnation`` at ``address`` carry ``request``.
 
-        :returns: its :class:`~boragegw.messages.Answer`.
+        :returns: its :class:`~boragegw.messages.Response`.
         :raises PeerError: if there is no answer from that process.
         """
 
--- a/boragegw/peers/_http.py
+++ b/boragegw/peers/_http.py
@@ -91,8 +91,8 @@
         headers = [(k, v) for k, v in request.headers if k not in skipped]
         headers += [(FORWARD, described), (SIGNATURE, signature)]
         if request.trace is not None:
-            headers = [h for h in headers if h[0] != messages.TRACEPARENT]
-            headers.append((messages.TRACEPARENT, request.trace))
+            headers = [h for h in headers if h[0] != messages.TRACEPARENT_HEADER]
+            headers.append((messages.TRACEPARENT_HEADER, request.trace))
         outgoing = self._http().build_request(
             "POST",
             f"http://{address}{FORWARD_PATH}",
@@ -110,8 +110,8 @@
 
     async def _answer(self, address, response):
         headers = [(k.lower(), v) for k, v in response.headers.raw]
-        verdict = messages.find(headers, messages.VERDICT)
-        if messages.find(headers, FORWARD) is None or verdict is None:
+        verdict = messages.find_header(headers, messages.VERDICT_HEADER)
+        if messages.find_header(headers, FORWARD) is None or verdict is None:
             await response.aclose()
             raise _base.PeerError(
                 f"{address}: status {response.status_code}, not from the process asked",
@@ -120,9 +120,10 @@
         kept = [
             (k, v)
             for k, v in headers
-            if k not in messages.HOP_BY_HOP and k not in (FORWARD, b"date", b"server")
+            if k not in messages.HOP_BY_HOP_HEADERS
+            and k not in (FORWARD, b"date", b"server")
         ]
-        return messages.Answer(
+        return messages.Response(
             response.status_code,
             kept,
             _forwarded_body(response),
--- a/boragegw/server/_peer_application.py
+++ b/boragegw/server/_peer_application.py
@@ -57,14 +57,14 @@
             await _reply(send, 400)
 
     def _is_signed(self, scope, *parts):
-        value = messages.find(scope["headers"], _http.SIGNATURE, b"")
+        value = messages.find_header(scope["headers"], _http.SIGNATURE, b"")
         if self.signer.verify(self.node.clock.wall(), value, *parts):
             return True
         self.node.board.counters["peers.requests_refused"] += 1
         return False
 
     async def _forward(self, scope, receive, send):
-        described = messages.find(scope["headers"], _http.FORWARD, b"")
+        described = messages.find_header(scope["headers"], _http.FORWARD, b"")
         if not self._is_signed(scope, _http.FORWARD, described):
             await _reply(send, 403)
             return
@@ -89,7 +89,7 @@
             deadline=self.node.clock.now() + remaining,
             key=key,
             retries_left=left,
-            trace=messages.find(scope["headers"], messages.TRACEPARENT),
+            trace=messages.find_header(scope["headers"], messages.TRACEPARENT_HEADER),
         )
         answer = await self.node.carrier.carry_forwarded(incarnation, request)
         if answer is None:
@@ -145,8 +145,8 @@
 
 async def _send_answer(send, answer):
     headers = [
-        *(h for h in answer.headers if h[0] != messages.VERDICT),
-        (messages.VERDICT, answer.verdict.value.encode()),
+        *(h for h in answer.headers if h[0] != messages.VERDICT_HEADER),
+        (messages.VERDICT_HEADER, answer.verdict.value.encode()),
         (_http.FORWARD, b"answer"),
     ]
     try:
--- a/boragegw/standins/_virtual_fleet.py
+++ b/boragegw/standins/_virtual_fleet.py
@@ -229,7 +229,7 @@
         await self.world.gate(node.board.identity.peer_address)
         headers = [(b"content-type", b"text/plain")]
         if key:
-            headers.append((messages.IDEMPOTENCY_KEY, key.encode()))
+            headers.append((messages.IDEMPOTENCY_KEY_HEADER, key.encode()))
         request = messages.Request(
             request_id=f"{self.random_state.getrandbits(48):012x}",
             service=service,
--- a/boragegw/standins/_virtual_network.py
+++ b/boragegw/standins/_virtual_network.py
@@ -126,7 +126,7 @@
             raise peers.PeerError(f"{address}: unreachable")
         await asyncio.sleep(self._delay_to(node))
         await self.world.gate(address)
-        content = request.body.held()
+        content = request.body.content()
         forwarded = dataclasses.replace(request, body=messages.Body.from_bytes(content))
         answer = await self._carried(node, address, incarnation, forwarded)
         await self.world.gate(self.address)
--- a/boragegw/standins/_virtual_transport.py
+++ b/boragegw/standins/_virtual_transport.py
@@ -133,7 +133,9 @@
         return await self._run(server, attempt)
 
     async def _run(self, server, attempt):
-        key = messages.find(attempt.headers, messages.IDEMPOTENCY_KEY, b"").decode()
+        key = messages.find_header(
+            attempt.headers, messages.IDEMPOTENCY_KEY_HEADER, b""
+        ).decode()
         try:
             await server.run(key, attempt.target, attempt.attempt_id)
         except ConnectionResetError as error:
