--- a/boragegw/blackboard/__init__.py
+++ b/boragegw/blackboard/__init__.py
@@ -17,20 +17,29 @@
     ServiceSettings,
     VirtualMachine,
 )
-from boragegw.blackboard._journal import AttemptNote, Journal, RequestNote
-from boragegw.blackboard._members import WORKING, Member, MembershipSection, MemberState
+from boragegw.blackboard._members import (
+    WORKING_STATES,
+    Member,
+    MembershipSection,
+    MemberState,
+)
+from boragegw.blackboard._request_history import (
+    AttemptRecord,
+    RequestHistory,
+    RequestRecord,
+)
 
 __all__ = [
     "ROLE_BACKEND",
     "ROLE_ENTRY",
-    "WORKING",
-    "AttemptNote",
+    "WORKING_STATES",
+    "AttemptRecord",
     "BackendState",
     "Blackboard",
     "ConfigurationSection",
     "FleetSection",
     "Identity",
-    "Journal",
+    "RequestHistory",
     "Lifecycle",
     "LoadReport",
     "Member",
@@ -39,7 +48,7 @@
     "PeerCount",
     "Phase",
     "Recall",
-    "RequestNote",
+    "RequestRecord",
     "ServiceSettings",
     "ServiceState",
     "VirtualMachine",
--- a/boragegw/blackboard/_backends.py
+++ b/boragegw/blackboard/_backends.py
@@ -48,13 +48,14 @@
     :param own_in_flight: this entry's requests in flight; exact.
     :param peers: other entries' counts by incarnation.
     :param phase: temperature in the shared view.
-    :param allowance: requests in flight permitted while cold.
+    :param slow_start_limit: requests in flight permitted while cold.
     :param cold_since: time of the last turn to cold.
     :param cold_epoch: wall milliseconds of the last turn to cold; the later turn
         wins when entries exchange temperatures.
     :param latency: smoothed time to the answer's head, in seconds, 0 before the first.
     :param warm_latency: the same, learned while warm.
-    :param started: start times of own requests in flight, by attempt identity.
+    :param attempt_start_times: start times of this entry's attempts in flight, by
+        attempt id.
     :param failures: consecutive failed attempts.
     :param ejected_until: no new work before this time, unless most of the service is
         ejected.
@@ -67,13 +68,13 @@
     peers: dict = dataclasses.field(default_factory=dict)
     report: LoadReport | None = None
     phase: Phase = Phase.COLD
-    allowance: float = 1.0
+    slow_start_limit: float = 1.0
     cold_since: float = 0.0
     cold_epoch: int = 0
     incarnation: str = ""
     latency: float = 0.0
     warm_latency: float = 0.0
-    started: dict = dataclasses.field(default_factory=dict)
+    attempt_start_times: dict = dataclasses.field(default_factory=dict)
     failures: int = 0
     ejected_until: float = float("-inf")
     demoted_until: float = float("-inf")
--- a/boragegw/blackboard/_blackboard.py
+++ b/boragegw/blackboard/_blackboard.py
@@ -3,7 +3,7 @@
 import collections
 import dataclasses
 
-from boragegw.blackboard import _fleet, _journal, _members
+from boragegw.blackboard import _fleet, _members, _request_history
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -53,7 +53,9 @@
             lambda: collections.deque(maxlen=1000)
         )
     )
-    journal: _journal.Journal = dataclasses.field(default_factory=_journal.Journal)
+    request_history: _request_history.RequestHistory = dataclasses.field(
+        default_factory=_request_history.RequestHistory
+    )
 
     def backend(self, service, name):
         """Return the state of a backend server, or ``None``."""
--- a/boragegw/blackboard/_members.py
+++ b/boragegw/blackboard/_members.py
@@ -13,7 +13,7 @@
     STOPPED = 3
 
 
-WORKING = (MemberState.SERVING, MemberState.DRAINING)
+WORKING_STATES = (MemberState.SERVING, MemberState.DRAINING)
 
 
 @dataclasses.dataclass(slots=True)
@@ -64,4 +64,4 @@
 
     def working(self, now):
         """Yield peers with a recent beat that may send work to backend servers."""
-        return (m for m in self.alive(now) if m.state in WORKING)
+        return (m for m in self.alive(now) if m.state in WORKING_STATES)
--- a/boragegw/blackboard/_journal.py
+++ b/boragegw/blackboard/_request_history.py
@@ -5,7 +5,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class AttemptNote:
+class AttemptRecord:
     """One attempt: where it went, why, and how it ended."""
 
     attempt_id: str
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class RequestNote:
+class RequestRecord:
     """One request's way through this entry."""
 
     request_id: str
@@ -32,7 +32,7 @@
     verdict: str = ""
 
 
-class Journal:
+class RequestHistory:
     """The latest requests by id.
 
     :param capacity: requests remembered; the oldest goes first.
@@ -45,7 +45,7 @@
     def __len__(self):
         return len(self._notes)
 
-    def open(self, note):
+    def add(self, note):
         """Remember ``note`` and return it."""
         self._notes[note.request_id] = note
         while len(self._notes) > self.capacity:
--- a/boragegw/controllers/_dispatcher.py
+++ b/boragegw/controllers/_dispatcher.py
@@ -110,11 +110,11 @@
 
     def start(self, backend, attempt_id):
         """Note that an attempt is sent to ``backend``."""
-        backend.started[attempt_id] = self.clock.now()
+        backend.attempt_start_times[attempt_id] = self.clock.now()
 
     def release(self, service, backend, attempt_id=None):
         """Give back a place; the queue's next request takes it."""
-        backend.started.pop(attempt_id, None)
+        backend.attempt_start_times.pop(attempt_id, None)
         service.finished += 1
         self._return_place(service, backend)
 
--- a/boragegw/controllers/_services.py
+++ b/boragegw/controllers/_services.py
@@ -59,7 +59,7 @@
         if known is not None:
             known.removed = True
         backend = blackboard.BackendState(vm)
-        backend.allowance = float(min(service.settings.cold_in_flight, vm.slots))
+        backend.slow_start_limit = float(min(service.settings.cold_in_flight, vm.slots))
         backend.cold_since = self.clock.now()
         service.backends[vm.name] = backend
 
@@ -138,5 +138,7 @@
         backend.is_warmer = is_warmer
         if became and backend.phase is blackboard.Phase.COLD:
             settings = service.settings
-            backend.allowance = float(min(settings.cold_in_flight, backend.vm.slots))
+            backend.slow_start_limit = float(
+                min(settings.cold_in_flight, backend.vm.slots)
+            )
             backend.cold_since = self.clock.now()
--- a/boragegw/decisions/_admission.py
+++ b/boragegw/decisions/_admission.py
@@ -29,7 +29,7 @@
         """Return how many more requests this entry may send to ``backend``."""
         self._check_params()
         if backend.phase is blackboard.Phase.COLD:
-            return backend.allowance - backend.own_in_flight
+            return backend.slow_start_limit - backend.own_in_flight
         limit = backend.vm.slots * settings.in_flight_factor + self.extra
         if self.peer_weight:
             others = backend.peers_in_flight(now, self.horizon) * self.peer_weight
--- a/boragegw/decisions/_membership.py
+++ b/boragegw/decisions/_membership.py
@@ -84,7 +84,7 @@
         entry may warm them meanwhile. It hands them over when it takes no new work.
         """
         working = board.membership.working(now)
-        own = board.lifecycle.state in blackboard.WORKING
+        own = board.lifecycle.state in blackboard.WORKING_STATES
         return self._listed(board, working, own)
 
     @staticmethod
--- a/boragegw/decisions/_placement.py
+++ b/boragegw/decisions/_placement.py
@@ -157,9 +157,13 @@
     def _is_demoted(self, candidate, now):
         if candidate.demoted_until > now:
             return True
-        if not self.slow_age or not candidate.started or not candidate.warm_latency:
+        if (
+            not self.slow_age
+            or not candidate.attempt_start_times
+            or not candidate.warm_latency
+        ):
             return False
-        oldest = next(iter(candidate.started.values()))
+        oldest = next(iter(candidate.attempt_start_times.values()))
         return now - oldest > self.slow_age * candidate.warm_latency
 
     def _load(self, candidate, now):
--- a/boragegw/decisions/_ramp.py
+++ b/boragegw/decisions/_ramp.py
@@ -40,7 +40,7 @@
         """
         self._check_params()
         backend.phase = blackboard.Phase.COLD
-        backend.allowance = float(min(settings.cold_in_flight, backend.vm.slots))
+        backend.slow_start_limit = float(min(settings.cold_in_flight, backend.vm.slots))
         backend.cold_since = now
         backend.cold_epoch = max(int(wall * 1000), backend.cold_epoch + 1)
         backend.latency = 0.0
@@ -106,10 +106,14 @@
             return False
         full = backend.vm.slots * settings.in_flight_factor
         ceiling = self._ceiling(backend, settings, now, full)
-        backend.allowance = max(
-            backend.allowance, min(backend.allowance * self.growth, ceiling)
+        backend.slow_start_limit = max(
+            backend.slow_start_limit,
+            min(backend.slow_start_limit * self.growth, ceiling),
         )
-        if now - backend.cold_since >= settings.warm_up and backend.allowance >= full:
+        if (
+            now - backend.cold_since >= settings.warm_up
+            and backend.slow_start_limit >= full
+        ):
             backend.phase = blackboard.Phase.WARM
             backend.warm_latency = 0.0
             return True
--- a/boragegw/decisions/tests/test_admission.py
+++ b/boragegw/decisions/tests/test_admission.py
@@ -40,7 +40,7 @@
 
 def test_warmer_sends_up_to_the_allowance():
     cold = make_backend("cold", slots=6, phase="cold")
-    cold.is_warmer, cold.allowance = True, 2.0
+    cold.is_warmer, cold.slow_start_limit = True, 2.0
     service = make_service([cold])
     assert names(service) == ["cold"]
     cold.own_in_flight = 2
--- a/boragegw/decisions/tests/test_ramp.py
+++ b/boragegw/decisions/tests/test_ramp.py
@@ -30,15 +30,15 @@
         blackboard.VirtualMachine("b", "backend", "10.0.0.1:1", "dc-a")
     )
     assert backend.phase is blackboard.Phase.COLD
-    assert backend.allowance == 1.0
+    assert backend.slow_start_limit == 1.0
 
 
 def test_growth_is_bound_by_time_however_many_answers_come():
     ramp, backend, service = make()
     succeed(ramp, backend, service, 1.0, times=100)
-    assert backend.allowance == pytest.approx(1 + 5 * 0.1)
+    assert backend.slow_start_limit == pytest.approx(1 + 5 * 0.1)
     succeed(ramp, backend, service, 5.0, times=100)
-    assert backend.allowance == pytest.approx(3.5)
+    assert backend.slow_start_limit == pytest.approx(3.5)
 
 
 def test_warm_needs_the_time_and_the_answers():
@@ -55,7 +55,7 @@
     backend.report = report(cold=reason == "says cold")
     latency = 0.2 if reason == "slow" else 0.01
     succeed(ramp, backend, service, 5.0, latency, times=50)
-    assert backend.allowance == 1.0
+    assert backend.slow_start_limit == 1.0
 
 
 EVIDENCE = {
@@ -81,14 +81,14 @@
     backend.incarnation, backend.warm_latency = "one", 0.01
     assert EVIDENCE[kind](ramp, backend, service)
     assert backend.phase is blackboard.Phase.COLD
-    assert backend.allowance == 1.0
+    assert backend.slow_start_limit == 1.0
 
 
 def test_refusal_while_ramping_falls_back_to_the_cold_share():
     ramp, backend, service = make()
     succeed(ramp, backend, service, 5.0, times=50)
     ramp.observe_refusal(backend, service.settings, 5.0, 5.0)
-    assert backend.allowance == 1.0
+    assert backend.slow_start_limit == 1.0
     assert backend.cold_since == 5.0
 
 
--- a/boragegw/entry/_carrier.py
+++ b/boragegw/entry/_carrier.py
@@ -62,8 +62,8 @@
         return answer
 
     def _open_note(self, request):
-        return self.board.journal.open(
-            blackboard.RequestNote(
+        return self.board.request_history.add(
+            blackboard.RequestRecord(
                 request.request_id,
                 request.service,
                 request.method,
--- a/boragegw/entry/_executor.py
+++ b/boragegw/entry/_executor.py
@@ -39,7 +39,7 @@
     service: blackboard.ServiceState
     idempotent: bool
     harm: int
-    note: blackboard.RequestNote
+    note: blackboard.RequestRecord
     headers: list
     fingerprint: bytes = b""
     made: int = 0
@@ -82,7 +82,7 @@
     async def execute(self, request, service, idempotent, note):
         """Return the answer of a backend server.
 
-        :param note: the request's :class:`~boragegw.blackboard.RequestNote`.
+        :param note: the request's :class:`~boragegw.blackboard.RequestRecord`.
         :raises RequestError: with the verdict over all attempts.
         """
         self.policies.retries.earn(service)
@@ -223,7 +223,7 @@
         request = call.request
         attempt_id = f"{request.request_id}-{len(call.note.attempts) + 1}"
         now = self.clock.now()
-        note = blackboard.AttemptNote(attempt_id, backend.name, reason, now)
+        note = blackboard.AttemptRecord(attempt_id, backend.name, reason, now)
         call.note.attempts.append(note)
         if not self.dispatcher.may_send(backend, request.deadline):
             self.dispatcher.release(call.service, backend)
--- a/boragegw/entry/tests/test_faults.py
+++ b/boragegw/entry/tests/test_faults.py
@@ -116,7 +116,7 @@
         body = messages.Body(parts())
         await body.prefetch()
         request = messages.Request("id", "filing", "PUT", "/x", [], body, 9e9)
-        note = blackboard.RequestNote("id", "filing", "PUT", "/x", True, 0.0)
+        note = blackboard.RequestRecord("id", "filing", "PUT", "/x", True, 0.0)
         service = node.board.services["filing"]
         call = node.executor._call(request, service, True, note)
         before = call.known_fingerprint()
@@ -227,7 +227,7 @@
         request = messages.Request(
             "id", "filing", "GET", "/x", [], messages.Body(), node.clock.now() + 2.0
         )
-        note = blackboard.RequestNote("id", "filing", "GET", "/x", True, 0.0)
+        note = blackboard.RequestRecord("id", "filing", "GET", "/x", True, 0.0)
         call = node.executor._call(request, service, True, note)
         with pytest.raises(errors.BoragegwError) as caught:
             await node.executor._attempt(call, backend, "first", False)
--- a/boragegw/operations/_status.py
+++ b/boragegw/operations/_status.py
@@ -111,5 +111,5 @@
 
 def explain_request(board, request_id):
     """Return why a request went where it went, or ``None`` if it is not remembered."""
-    note = board.journal.find(request_id)
+    note = board.request_history.find(request_id)
     return None if note is None else dataclasses.asdict(note)
