--- a/boragegw/controllers/__init__.py
+++ b/boragegw/controllers/__init__.py
@@ -3,8 +3,8 @@
 from boragegw.controllers._configuration import ConfigurationController
 from boragegw.controllers._dispatcher import Dispatcher
 from boragegw.controllers._gossip import GossipController
+from boragegw.controllers._health_observer import HealthObserver
 from boragegw.controllers._membership import MembershipController
-from boragegw.controllers._observer import Observer
 from boragegw.controllers._services import ServicesController
 
 __all__ = [
@@ -12,6 +12,6 @@
     "Dispatcher",
     "GossipController",
     "MembershipController",
-    "Observer",
+    "HealthObserver",
     "ServicesController",
 ]
--- a/boragegw/controllers/_configuration.py
+++ b/boragegw/controllers/_configuration.py
@@ -16,7 +16,7 @@
 
     :param source: a :class:`~boragegw.sources.ConfigurationSource`.
     :param fleet_source: a :class:`~boragegw.sources.FleetSource`.
-    :param readers: a :class:`~boragegw.decisions.ReaderPolicy`.
+    :param reader_policy: a :class:`~boragegw.decisions.ReaderPolicy`.
     :param on_change: called after anything new was adopted.
     """
 
@@ -28,7 +28,7 @@
         source,
         fleet_source,
         network,
-        readers,
+        reader_policy,
         live_entries,
         tasks,
         sleep,
@@ -41,7 +41,7 @@
         self.source = source
         self.fleet_source = fleet_source
         self.network = network
-        self.readers = readers
+        self.reader_policy = reader_policy
         self.live_entries = live_entries
         self.tasks = tasks
         self.sleep = sleep
@@ -88,7 +88,7 @@
         self.board.configuration.rejected = reason
         self.board.counters["configuration.rejected"] += 1
 
-    def adopt_vms(self, raw):
+    def adopt_vm_list(self, raw):
         """Take a newer list of VMs; return whether it was newer."""
         section = self.board.fleet
         try:
@@ -106,7 +106,7 @@
         self.on_change()
         return True
 
-    async def take_head(self, raw_head):
+    async def handle_head(self, raw_head):
         """Act on a head read from the platform: confirm, or fetch what changed."""
         section = self.board.configuration
         try:
@@ -146,9 +146,9 @@
     def _should_read(self):
         now = self.clock.now()
         section = self.board.configuration
-        if self.readers.must_read(section.confirmed_at, now):
+        if self.reader_policy.must_read(section.confirmed_at, now):
             return True
-        return self.readers.is_reader(self.board.identity, self.live_entries())
+        return self.reader_policy.is_reader(self.board.identity, self.live_entries())
 
     async def watch_configuration(self):
         """Watch for ever, while this entry is a reader or nobody confirms."""
@@ -160,9 +160,9 @@
 
     async def _watch_once(self):
         await self._take_read()
-        timeout = min(self.watch_timeout, self.readers.patience / 2)
+        timeout = min(self.watch_timeout, self.reader_policy.patience / 2)
         revision = self.board.configuration.revision
-        await self.take_head(await self.source.watch_head(revision, timeout))
+        await self.handle_head(await self.source.watch_head(revision, timeout))
 
     async def watch_vms(self):
         """Watch the list of VMs for ever, under the same rule."""
@@ -175,7 +175,9 @@
     async def _watch_vms_once(self):
         await self._take_read()
         version = self.board.fleet.version
-        self.adopt_vms(await self.fleet_source.watch_vms(version, self.watch_timeout))
+        self.adopt_vm_list(
+            await self.fleet_source.watch_vms(version, self.watch_timeout)
+        )
 
     async def _guarded(self, step):
         """Run one step; after a failure pause with jitter and keep what is held."""
@@ -197,7 +199,7 @@
             logger.info("platform can be read again")
         self._platform_failing = failing
 
-    def heard(self, member):
+    def handle_heartbeat(self, member):
         """Compare a peer's heartbeat with what is in force here."""
         section = self.board.configuration
         if member.revision == section.revision:
@@ -211,22 +213,24 @@
 
     async def _learn(self, address):
         try:
-            await self.learn_from(address)
+            await self.fetch_from_peer(address)
         except peers.PeerError as error:
             logger.warning("configuration not learned from peer: %s", error)
         finally:
             self._learning = False
 
-    async def learn_from(self, address):
+    async def fetch_from_peer(self, address):
         """Take a peer's configuration and list of VMs if they are newer.
 
         :raises PeerError: if the peer has none.
         """
-        bundle = await self.network.fetch_configuration(address, self._known())
+        bundle = await self.network.fetch_configuration(
+            address, self._known_configuration()
+        )
         if bundle.head:
             self.adopt(bundle.head, self._completed(bundle))
         if bundle.vms:
-            self.adopt_vms(bundle.vms)
+            self.adopt_vm_list(bundle.vms)
 
     def _held_hashes(self):
         section = self.board.configuration
@@ -234,7 +238,7 @@
             return {}
         return dict(_documents.parse_head(section.head).documents)
 
-    def _known(self):
+    def _known_configuration(self):
         return peers.KnownConfiguration(
             self.board.configuration.revision,
             self.board.fleet.version,
@@ -254,7 +258,7 @@
         kept = {name: held[h] for name, h in wanted.items() if h in held}
         return {**kept, **bundle.documents}
 
-    def bundle(self, known):
+    def build_bundle(self, known):
         """Return what is in force here and a peer does not know."""
         section = self.board.configuration
         head, documents = b"", {}
@@ -283,13 +287,13 @@
         chosen = self.random_state.sample(sorted(addresses), min(3, len(addresses)))
         for address in chosen:
             try:
-                await self.learn_from(address)
+                await self.fetch_from_peer(address)
             except peers.PeerError as error:
                 logger.info("peer not reached at start: %s", error)
 
     async def _read_once(self):
-        self.adopt_vms(await self.fleet_source.watch_vms(0, 0.0))
-        await self.take_head(await self.source.read_head())
+        self.adopt_vm_list(await self.fleet_source.watch_vms(0, 0.0))
+        await self.handle_head(await self.source.read_head())
 
     @property
     def ready(self):
--- a/boragegw/controllers/_dispatcher.py
+++ b/boragegw/controllers/_dispatcher.py
@@ -108,7 +108,7 @@
         """
         return decisions.is_admissible(backend) and deadline > self.clock.now()
 
-    def start(self, backend, attempt_id):
+    def record_attempt_start(self, backend, attempt_id):
         """Note that an attempt is sent to ``backend``."""
         backend.attempt_start_times[attempt_id] = self.clock.now()
 
@@ -121,9 +121,9 @@
     def _return_place(self, service, backend):
         backend.own_in_flight -= 1
         service.in_flight -= 1
-        self.pump(service)
+        self.dispatch_waiting(service)
 
-    def pump(self, service):
+    def dispatch_waiting(self, service):
         """Give free places to waiting requests, in order of arrival."""
         while service.waiting:
             assigned = self._assign_one(service)
@@ -174,7 +174,7 @@
             service.finished = 0
             if service.waiting:
                 self._expire(service)
-                self.pump(service)
+                self.dispatch_waiting(service)
                 self._refuse_stranded(service)
 
     def _refuse_stranded(self, service):
--- a/boragegw/controllers/_gossip.py
+++ b/boragegw/controllers/_gossip.py
@@ -18,7 +18,7 @@
     :param network: a :class:`~boragegw.peers.PeerNetwork`.
     :param services: the :class:`ServicesController`.
 
-    ``introduced`` is set once a peer has told temperatures.
+    ``temperatures_received`` is set once a peer has told temperatures.
     """
 
     def __init__(self, board, clock, random_state, network, services, observer):
@@ -28,7 +28,7 @@
         self.network = network
         self.services = services
         self.observer = observer
-        self.introduced = False
+        self.temperatures_received = False
         self._told = {}
         self._indexes = {}
 
@@ -52,7 +52,7 @@
 
     def send_digests(self):
         """Tell the other entries of each service this entry's counts."""
-        working = self.services.working()
+        working = self.services.working_entries()
         own = self.board.identity.incarnation
         for name, service in self.board.services.items():
             if self._is_idle(name, service):
@@ -119,7 +119,7 @@
             digest = peers.LoadDigest(name, [], rows)
             self.network.send(member.peer_address, digest)
 
-    def introduce(self, member):
+    def send_all_temperatures(self, member):
         """Tell all temperatures to an entry that is new."""
         for name, service in self.board.services.items():
             rows = [
@@ -132,14 +132,14 @@
                 digest = peers.LoadDigest(name, [], part)
                 self.network.send(member.peer_address, digest)
 
-    def temperature_changed(self, service, backend):
+    def broadcast_temperature(self, service, backend):
         """Tell everybody in sight of a change at once."""
         digest = peers.LoadDigest(
             service.settings.name, [], [self._temperature(backend)]
         )
         self._broadcast(digest)
 
-    def quarantined(self, fingerprint, remaining):
+    def broadcast_quarantine(self, fingerprint, remaining):
         """Tell everybody in sight of a request that crashes backend servers."""
         self._broadcast(peers.Quarantine(fingerprint, remaining))
 
@@ -148,14 +148,16 @@
         for member in list(self.board.membership.alive(now))[:64]:
             self.network.send(member.peer_address, message)
 
-    def take_digest(self, sender, digest):
+    def handle_digest(self, sender, digest):
         """Take a peer's counts and temperatures."""
         service = self.board.services.get(digest.service)
         if service is None:
             return
         index = self._index(service)
         now = self.clock.now()
-        self.introduced = self.introduced or bool(digest.temperatures)
+        self.temperatures_received = self.temperatures_received or bool(
+            digest.temperatures
+        )
         for count in digest.counts:
             backend = service.backends.get(index.get(count.backend))
             if backend is None:
@@ -168,10 +170,12 @@
         for row in digest.temperatures:
             backend = service.backends.get(index.get(row.backend))
             if backend is not None:
-                self.observer.temperature_heard(service, backend, row.epoch, row.warm)
-                self.observer.draining_heard(backend, row.draining)
+                self.observer.apply_peer_temperature(
+                    service, backend, row.epoch, row.warm
+                )
+                self.observer.apply_peer_draining(backend, row.draining)
 
-    def forget_silent(self, horizon):
+    def drop_stale_counts(self, horizon):
         """Drop the counts of peers that have not been heard for ``horizon``."""
         oldest = self.clock.now() - horizon
         for service in self.board.services.values():
--- a/boragegw/controllers/_observer.py
+++ b/boragegw/controllers/_health_observer.py
@@ -12,11 +12,11 @@
 DRAIN_RECHECK = 2.0
 
 
-class Observer:
+class HealthObserver:
     """Writes reports, temperatures, latencies and ejections.
 
     :param transport: a :class:`~boragegw.backends.BackendTransport`.
-    :param on_temperature: called with (service, backend) when a temperature changes.
+    :param on_temperature_change: called with (service, backend) when the phase changes.
     """
 
     def __init__(
@@ -31,12 +31,12 @@
         self.hedging = hedging
         self.tasks = tasks
         self.sleep = sleep
-        self.on_temperature = lambda service, backend: None
+        self.on_temperature_change = lambda service, backend: None
 
-    def answered(self, service, backend, latency, report, status):
+    def observe_response(self, service, backend, latency, report, status):
         """Learn from an answer whose head came after ``latency`` seconds."""
         now, wall = self.clock.now(), self.clock.wall()
-        self.take_report(service, backend, report)
+        self.record_report(service, backend, report)
         if status >= 500:
             self.slowdown.observe_failure(backend, now)
             return
@@ -45,21 +45,21 @@
         if self.ramp.observe_success(backend, service, now, wall, latency):
             self._changed(service, backend)
 
-    def take_report(self, service, backend, report):
+    def record_report(self, service, backend, report):
         """Take a load report that came with an answer, a refusal or a probe."""
         if report is None:
             return
         before, backend.report = backend.report, report
         now, wall = self.clock.now(), self.clock.wall()
         if report.draining != (before is not None and before.draining):
-            self.on_temperature(service, backend)
+            self.on_temperature_change(service, backend)
         if self.ramp.observe_report(backend, service.settings, now, wall):
             self._changed(service, backend)
 
-    def failed(self, service, backend, error):
+    def observe_failure(self, service, backend, error):
         """Learn from an :class:`~boragegw.backends.AttemptError`."""
         now, wall = self.clock.now(), self.clock.wall()
-        self.take_report(service, backend, error.report)
+        self.record_report(service, backend, error.report)
         failure = error.failure
         if failure is backends.Failure.REFUSED:
             self.slowdown.observe_refusal(backend, now)
@@ -81,8 +81,8 @@
             backend.phase.value,
             extra={"service": service.settings.name, "backend": backend.name},
         )
-        self.on_temperature(service, backend)
-        self.dispatcher.pump(service)
+        self.on_temperature_change(service, backend)
+        self.dispatcher.dispatch_waiting(service)
 
     def verify(self, service, backend):
         """Ask a backend server for its incarnation over a new connection.
@@ -108,7 +108,7 @@
                 await self.sleep(VERIFY_PAUSE * 2**attempt)
         finally:
             backend.verifying = False
-            self.dispatcher.pump(service)
+            self.dispatcher.dispatch_waiting(service)
 
     async def _take_probe(self, service):
         """Wait for the probe budget; the backend server gets no work meanwhile."""
@@ -131,7 +131,7 @@
             self.board.counters["probes.failed"] += 1
             return False
         self.transport.discard(backend.vm, opened_before=started)
-        self.take_report(service, backend, report)
+        self.record_report(service, backend, report)
         backend.failures = 0
         return True
 
@@ -166,7 +166,7 @@
             return False
         return await self._probe(service, backend)
 
-    def draining_heard(self, backend, draining):
+    def apply_peer_draining(self, backend, draining):
         """Take a peer's word that a backend server wants no new work.
 
         It counts as a report of its own, so that it is asked again like one that
@@ -179,7 +179,7 @@
             0, False, True, backend.incarnation, self.clock.now()
         )
 
-    def temperature_heard(self, service, backend, epoch, warm):
+    def apply_peer_temperature(self, service, backend, epoch, warm):
         """Take a peer's word on a temperature: the later epoch holds.
 
         Within an epoch warm follows cold. A turn to cold restarts the ramp here too.
@@ -196,4 +196,4 @@
         if warm and backend.phase is blackboard.Phase.COLD:
             backend.phase = blackboard.Phase.WARM
             backend.warm_latency = 0.0
-            self.dispatcher.pump(service)
+            self.dispatcher.dispatch_waiting(service)
--- a/boragegw/controllers/_membership.py
+++ b/boragegw/controllers/_membership.py
@@ -16,7 +16,7 @@
     :param policy: a :class:`~boragegw.decisions.MembershipPolicy`.
     :param seeds: peer addresses asked besides those that the platform lists.
     :param on_heartbeat: called with each sender's member.
-    :param on_newcomer: called with each member not heard of before.
+    :param on_new_member: called with each member not heard of before.
     """
 
     def __init__(self, board, clock, random_state, network, policy, seeds=()):
@@ -26,9 +26,9 @@
         self.network = network
         self.policy = policy
         self.seeds = seeds
-        self.sealed = {}
+        self.sealed_tables = {}
         self.on_heartbeat = lambda member: None
-        self.on_newcomer = lambda member: None
+        self.on_new_member = lambda member: None
         self._beat = 0
 
     def own_member(self):
@@ -47,7 +47,7 @@
             revision=configuration.revision,
             fleet_version=board.fleet.version,
             confirmed_age=self.clock.now() - configuration.confirmed_at,
-            sealed=tuple(self.sealed),
+            sealed=tuple(self.sealed_tables),
         )
 
     def _heartbeat(self):
@@ -84,7 +84,7 @@
             self.network.send(address, message)
         self.policy.sweep(self.board.membership, now)
 
-    def announce(self):
+    def broadcast_heartbeat(self):
         """Tell everybody in sight at once: a new revision, or that this one leaves."""
         now = self.clock.now()
         alive = [m.peer_address for m in self.board.membership.alive(now)]
@@ -92,7 +92,7 @@
         for address in self._sample(alive, BROADCAST):
             self.network.send(address, message)
 
-    def take_heartbeat(self, heartbeat):
+    def handle_heartbeat(self, heartbeat):
         """Take in a heartbeat."""
         now = self.clock.now()
         for member, age in heartbeat.members:
@@ -112,15 +112,15 @@
         is_new = member.incarnation not in section.members
         self.policy.merge(section, member, now, age)
         if is_new and member.incarnation in section.members:
-            self.on_newcomer(member)
+            self.on_new_member(member)
 
-    def keepers_of(self, incarnation):
+    def sealed_table_holders(self, incarnation):
         """Return the peers that hold the sealed key table of a stopped process."""
         now = self.clock.now()
         alive = self.board.membership.alive(now)
         return [member for member in alive if incarnation in member.sealed]
 
-    def successors(self, count):
+    def sealed_table_recipients(self, count):
         """Return peers that a sealed table is handed to, other data centres too."""
         own = self.board.identity
         serving = sorted(
@@ -132,9 +132,9 @@
         unique = {member.incarnation: member for member in chosen}
         return list(unique.values())
 
-    def sweep_sealed(self):
+    def drop_expired_sealed_tables(self):
         """Forget sealed tables whose time is over."""
         wall = self.clock.wall()
-        for incarnation, table in list(self.sealed.items()):
+        for incarnation, table in list(self.sealed_tables.items()):
             if table.keep_until <= wall:
-                del self.sealed[incarnation]
+                del self.sealed_tables[incarnation]
--- a/boragegw/controllers/_services.py
+++ b/boragegw/controllers/_services.py
@@ -37,7 +37,7 @@
     def _remove_service(self, service):
         for backend in service.backends.values():
             backend.removed = True
-        self.dispatcher.pump(service)
+        self.dispatcher.dispatch_waiting(service)
 
     def _refresh_backends(self):
         listed = {name: {} for name in self.board.services}
@@ -72,13 +72,13 @@
                     now, wall = self.clock.now(), self.clock.wall()
                     self.ramp.turn_cold(backend, service.settings, now, wall)
                 backend.recalled = recalled
-            self.dispatcher.pump(service)
+            self.dispatcher.dispatch_waiting(service)
 
-    def live(self):
+    def live_entries(self):
         """Return the entries that callers may use."""
         return self.membership.live_entries(self.board, self.clock.now())
 
-    def working(self):
+    def working_entries(self):
         """Return the entries that may send work to backend servers."""
         return self.membership.working_entries(self.board, self.clock.now())
 
@@ -89,7 +89,7 @@
         of a large fleet, so the result is kept until the view changes.
         """
         settings = service.settings
-        members = self.working() if members is None else members
+        members = self.working_entries() if members is None else members
         self._note_view(members)
         kept = self._subsets.get(settings.name)
         if kept is None:
@@ -114,7 +114,7 @@
 
         :param force: also if the entries in sight are the same as last time.
         """
-        working = self.working()
+        working = self.working_entries()
         view = self._note_view(working)
         if view == self._warmers_view and not force:
             return
--- a/boragegw/controllers/tests/test_configuration.py
+++ b/boragegw/controllers/tests/test_configuration.py
@@ -62,10 +62,10 @@
 
 def test_all_readers_dead_are_replaced_within_seconds():
     async def scenario(fleet):
-        policy = fleet.entries[0].configuration.readers
+        policy = fleet.entries[0].configuration.reader_policy
         for index in list(fleet.entries):
             node = fleet.entries[index]
-            if policy.is_reader(node.board.identity, node.services.live()):
+            if policy.is_reader(node.board.identity, node.services.live_entries()):
                 await fleet.kill(index)
         assert fleet.entries
         fleet.state.publish_recalls([("data-centre", ["dc-b"])])
@@ -160,11 +160,11 @@
 
     async def scenario(fleet):
         old, new = fleet.entries[0], fleet.entries[1]
-        known = old.configuration._known()
+        known = old.configuration._known_configuration()
         fleet.state.publish_recalls([("data-centre", ["dc-b"])])
         await seconds_until(lambda: fleet.in_force(2))
-        return new.configuration.bundle(known), new.configuration.bundle(
-            old.configuration._known()
+        return new.configuration.build_bundle(known), new.configuration.build_bundle(
+            old.configuration._known_configuration()
         )
 
     changed, unchanged = run_fleet(scenario)
--- a/boragegw/controllers/tests/test_warmers.py
+++ b/boragegw/controllers/tests/test_warmers.py
@@ -106,7 +106,7 @@
         service = node.board.services["claims"]
         backend = service.backends[name]
         backend.phase = blackboard.Phase.WARM
-        node.gossip.temperature_changed(service, backend)
+        node.gossip.broadcast_temperature(service, backend)
         await asyncio.sleep(0.1)
         phases = {
             other.board.backend("claims", name).phase
--- a/boragegw/entry/_carrier.py
+++ b/boragegw/entry/_carrier.py
@@ -148,12 +148,12 @@
         earlier copy has run there. Without its word the answer is "may have run".
         """
         await request.body.read_all()
-        sealed = self.membership.sealed.get(lease.incarnation)
+        sealed = self.membership.sealed_tables.get(lease.incarnation)
         if sealed is not None:
             return self._from_sealed(sealed, request, lease)
         if self.board.lifecycle.in_flight > self.request_limit:
             raise self._home_unreachable("this entry has no room to forward")
-        keepers = self.membership.keepers_of(lease.incarnation)
+        keepers = self.membership.sealed_table_holders(lease.incarnation)
         addresses = [lease.address, *(keeper.peer_address for keeper in keepers)]
         span = self.tracer.start("forward", request.trace)
         request.trace = span.traceparent
@@ -204,9 +204,9 @@
                 return None
             if incarnation == self.board.identity.incarnation:
                 answer = await self._at_home(request, lease, note)
-            elif incarnation in self.membership.sealed:
+            elif incarnation in self.membership.sealed_tables:
                 await request.body.read_all()
-                sealed = self.membership.sealed[incarnation]
+                sealed = self.membership.sealed_tables[incarnation]
                 answer = self._from_sealed(sealed, request, lease)
             else:
                 return None
--- a/boragegw/entry/_entries.py
+++ b/boragegw/entry/_entries.py
@@ -52,7 +52,7 @@
             raise errors.RequestError.not_run(
                 errors.Code.UNKNOWN_SERVICE, f"no service {service_name!r}"
             )
-        live = self.services.live()
+        live = self.services.live_entries()
         members = self.services.subsets.for_caller(
             service_name, live, service.settings.subset_size, caller, data_centre
         )
--- a/boragegw/entry/_executor.py
+++ b/boragegw/entry/_executor.py
@@ -229,7 +229,7 @@
             self.dispatcher.release(call.service, backend)
             raise self._moved(backend, note)
         span = self.tracer.start("attempt", request.trace, backend=backend.name)
-        self.dispatcher.start(backend, attempt_id)
+        self.dispatcher.record_attempt_start(backend, attempt_id)
         self.board.counters["attempts.sent"] += 1
         answer = None
         try:
@@ -238,7 +238,7 @@
             )
         except backends.AttemptError as error:
             note.outcome, note.verdict = error.failure.value, error.verdict.value
-            self.observer.failed(call.service, backend, error)
+            self.observer.observe_failure(call.service, backend, error)
             raise
         except errors.RequestError as error:
             note.outcome, note.verdict = error.code.value, error.verdict.value
@@ -292,7 +292,7 @@
         failed = answer.status >= 500
         verdict = errors.Verdict.MAY_HAVE_RUN if failed else errors.Verdict.RAN
         note.verdict = verdict.value
-        self.observer.answered(
+        self.observer.observe_response(
             call.service, backend, latency, answer.report, answer.status
         )
 
--- a/boragegw/server/_node.py
+++ b/boragegw/server/_node.py
@@ -121,7 +121,7 @@
             membership_policy,
             ramp,
         )
-        self.observer = controllers.Observer(
+        self.observer = controllers.HealthObserver(
             self.board,
             self.clock,
             self.transport,
@@ -156,7 +156,7 @@
             fleet_source,
             self.network,
             decisions.ReaderPolicy(),
-            self.services.live,
+            self.services.live_entries,
             self.tasks,
             self.sleep,
             parameters.watch_timeout,
@@ -211,10 +211,10 @@
         )
 
     def _connect_events(self):
-        self.observer.on_temperature = self.gossip.temperature_changed
-        self.executor.on_quarantine = self.gossip.quarantined
+        self.observer.on_temperature_change = self.gossip.broadcast_temperature
+        self.executor.on_quarantine = self.gossip.broadcast_quarantine
         self.membership.on_heartbeat = self._heard
-        self.membership.on_newcomer = self._welcome
+        self.membership.on_new_member = self._welcome
         self.configuration.on_change = self._configuration_changed
 
     def _heard(self, member):
@@ -222,18 +222,18 @@
 
         Told once is not enough: a starting process may not know its services yet.
         """
-        self.configuration.heard(member)
+        self.configuration.handle_heartbeat(member)
         if member.state is blackboard.MemberState.STARTING:
-            self.gossip.introduce(member)
+            self.gossip.send_all_temperatures(member)
 
     def _welcome(self, member):
-        self.gossip.introduce(member)
+        self.gossip.send_all_temperatures(member)
         self.services.refresh_warmers()
 
     def _configuration_changed(self):
         self.services.refresh()
         self.transport.set_sharers(sum(1 for _ in self.board.fleet.entries()))
-        self.membership.announce()
+        self.membership.broadcast_heartbeat()
 
     @property
     def ready(self):
@@ -253,7 +253,7 @@
         self.board.lifecycle.state = blackboard.MemberState.SERVING
         self.services.refresh()
         self.membership.send_heartbeats()
-        self.membership.announce()
+        self.membership.broadcast_heartbeat()
         self.loops.start(self._every("digest_interval", self._gossip), "digests")
         self.loops.start(self._every("tick_interval", self._tick), "tick")
         self.loops.start(self._every("refresh_interval", self._refresh), "refresh")
@@ -270,7 +270,7 @@
         if all(vm.name == own for vm in self.board.fleet.entries()):
             return
         end = self.clock.now() + PATIENCE
-        while not self.gossip.introduced and self.clock.now() < end:
+        while not self.gossip.temperatures_received and self.clock.now() < end:
             self.membership.send_heartbeats()
             await self.sleep(DRAIN_POLL)
         await self.sleep(DRAIN_POLL)
@@ -295,15 +295,15 @@
     def _refresh(self):
         self.services.refresh_warmers(force=False)
         self.observer.recheck_draining()
-        self.gossip.forget_silent(self.parameters.silence)
-        self.membership.sweep_sealed()
+        self.gossip.drop_stale_counts(self.parameters.silence)
+        self.membership.drop_expired_sealed_tables()
 
     def take_message(self, sender, message):
         """Take a datagram's message from the peer ``sender``."""
         if isinstance(message, peers.Heartbeat):
-            self.membership.take_heartbeat(message)
+            self.membership.handle_heartbeat(message)
         elif isinstance(message, peers.LoadDigest):
-            self.gossip.take_digest(sender, message)
+            self.gossip.handle_digest(sender, message)
         elif isinstance(message, peers.Quarantine):
             self.executor.policies.quarantine.add(
                 self.board.quarantined,
@@ -313,8 +313,8 @@
 
     def take_sealed(self, table):
         """Keep the key table of a process that stops, and say so to all peers."""
-        self.membership.sealed[table.incarnation] = table
-        self.membership.announce()
+        self.membership.sealed_tables[table.incarnation] = table
+        self.membership.broadcast_heartbeat()
 
     async def stop(self):
         """Leave, finish what is in flight, hand the keys over.
@@ -335,7 +335,7 @@
                 "stopped with work in flight",
                 extra={"in_flight": self.board.lifecycle.in_flight},
             )
-        self.membership.announce()
+        self.membership.broadcast_heartbeat()
         await self.close()
         return finished
 
@@ -344,11 +344,11 @@
         lifecycle = self.board.lifecycle
         lifecycle.state = blackboard.MemberState.DRAINING
         self.services.refresh_warmers()
-        self.membership.announce()
+        self.membership.broadcast_heartbeat()
         await self.sleep(self.parameters.leave_grace)
         self.keys.seal()
         lifecycle.state = blackboard.MemberState.STOPPED
-        self.membership.announce()
+        self.membership.broadcast_heartbeat()
 
     async def _hand_over(self):
         """Give the sealed table to two peers.
@@ -358,8 +358,8 @@
         """
         incarnation = self.board.identity.incarnation
         own = self.keys.export(incarnation, self.clock.wall())
-        tables = [own, *self.membership.sealed.values()]
-        for member in self.membership.successors(SUCCESSORS):
+        tables = [own, *self.membership.sealed_tables.values()]
+        for member in self.membership.sealed_table_recipients(SUCCESSORS):
             for table in tables:
                 await self._hand_table(member, table)
 
--- a/boragegw/server/_peer_application.py
+++ b/boragegw/server/_peer_application.py
@@ -100,7 +100,7 @@
     async def _configuration(self, scope, receive, send):
         raw = await self._signed_body(scope, receive, send, KNOWN_LIMIT)
         if raw is not None:
-            bundle = self.node.configuration.bundle(_tables.decode_known(raw))
+            bundle = self.node.configuration.build_bundle(_tables.decode_known(raw))
             await _reply(send, 200, _tables.encode_bundle(bundle))
 
     async def _sealed(self, scope, receive, send):
--- a/boragegw/standins/_virtual_network.py
+++ b/boragegw/standins/_virtual_network.py
@@ -158,7 +158,7 @@
         await asyncio.sleep(0.002)
         if node is None or address in self.world.paused:
             raise peers.PeerError(f"{address}: unreachable")
-        return node.configuration.bundle(known)
+        return node.configuration.build_bundle(known)
 
     async def hand_over(self, address, sealed):
         """Give a sealed table to a peer, through its encoded form."""
