--- a/boragegw/utils/__init__.py
+++ b/boragegw/utils/__init__.py
@@ -1,4 +1,4 @@
-"""Helpers without knowledge of load balancing."""
+"""General utilities that are independent of load balancing."""
 
 from boragegw.utils._bounded_dict import BoundedDict
 from boragegw.utils._clock import Clock, LoopClock, ManualClock
--- a/boragegw/utils/_bounded_dict.py
+++ b/boragegw/utils/_bounded_dict.py
@@ -1,10 +1,10 @@
-"""A dictionary of limited size."""
+"""A dictionary of bounded size."""
 
 
 class BoundedDict(dict):
-    """Keeps the entries that were added last.
+    """A dictionary that evicts its oldest entry above its capacity.
 
-    :param capacity: entries that are kept.
+    :param capacity: most entries kept.
     """
 
     def __init__(self, capacity):
@@ -12,7 +12,7 @@
         self.capacity = capacity
 
     def add(self, key, value):
-        """Add an entry as the latest; return the value that is dropped, or ``None``."""
+        """Add an entry as the newest; return the evicted value, or ``None``."""
         self.pop(key, None)
         self[key] = value
         return self.pop(next(iter(self))) if len(self) > self.capacity else None
--- a/boragegw/utils/_clock.py
+++ b/boragegw/utils/_clock.py
@@ -1,4 +1,4 @@
-"""Clocks: one monotonic reading for intervals, one wall reading for leases."""
+"""Clocks: monotonic time for intervals and wall clock time for leases."""
 
 import abc
 import asyncio
@@ -6,7 +6,7 @@
 
 
 class Clock(abc.ABC):
-    """Source of time, injected so that tests own it."""
+    """Source of time, injected so that tests can control it."""
 
     @abc.abstractmethod
     def now(self):
@@ -14,14 +14,14 @@
 
     @abc.abstractmethod
     def wall(self):
-        """Return seconds since the epoch; never less than an earlier reading."""
+        """Return seconds since the epoch, never less than an earlier reading."""
 
 
 class LoopClock(Clock):
-    """The running event loop's time and a wall clock that never steps back.
+    """Time of the running event loop, and a wall clock that never steps back.
 
-    :param wall_offset: seconds since the epoch at loop time zero; ``None`` takes
-        it from the machine's clock at the first reading.
+    :param wall_offset: seconds since the epoch at loop time zero; with ``None`` the
+        system clock is read instead.
     """
 
     def __init__(self, wall_offset=None):
@@ -33,11 +33,11 @@
         return asyncio.get_running_loop().time()
 
     def wall(self):
-        """Return wall seconds.
+        """Return wall clock seconds since the epoch.
 
-        Guards against a wall clock set back while records of non-idempotent
-        requests are judged by it: the reading holds still until the clock has
-        caught up, so nothing that has expired becomes valid again.
+        After the system clock is set back, the reading stays constant until the clock
+        has caught up. Records of non-idempotent requests expire by this reading, and
+        an expired record must not become valid again.
         """
         if self.wall_offset is None:
             reading = time.time()
@@ -48,7 +48,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told to.
+    """A clock that advances only by :meth:`advance`.
 
     :param start: first reading of both clocks, in seconds.
     """
@@ -66,5 +66,5 @@
         return self._time
 
     def advance(self, seconds):
-        """Move the clock forward by ``seconds``."""
+        """Advance the clock by ``seconds``."""
         self._time += seconds
--- a/boragegw/utils/_hashing.py
+++ b/boragegw/utils/_hashing.py
@@ -1,4 +1,4 @@
-"""Stable hashes, the same in every process and at every start."""
+"""Hashes that are equal in all processes, and rendezvous hashing."""
 
 import functools
 import hashlib
@@ -6,18 +6,18 @@
 
 @functools.lru_cache(maxsize=65536)
 def stable_hash(*parts):
-    """Return a 64 bit hash of ``parts``, equal in all processes."""
+    """Return a 64 bit hash of ``parts`` that does not depend on the process."""
     text = "\x1f".join(str(part) for part in parts)
     digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
 def rendezvous_rank(key, nodes, *, identity=str):
-    """Return ``nodes`` in rendezvous order for ``key``, the first choice first.
+    """Return ``nodes`` ordered by rendezvous hashing for ``key``, the best first.
 
-    Removing a node moves only the keys that had it first.
+    Removing a node changes the first choice only of the keys that it was first for.
 
-    :param identity: gives the stable name of a node.
+    :param identity: function that returns the stable name of a node.
     """
     return sorted(
         nodes, key=lambda node: stable_hash(key, identity(node)), reverse=True
--- a/boragegw/utils/_parameters.py
+++ b/boragegw/utils/_parameters.py
@@ -1,11 +1,11 @@
-"""Declared parameters: stored by constructors, checked at use, shown by repr."""
+"""Parameters of policies: declared constraints, validation and representation."""
 
 import dataclasses
 import inspect
 
 
 class InvalidParameterError(ValueError):
-    """A parameter is outside its declared constraint."""
+    """A parameter is unknown or violates its declared constraint."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -13,8 +13,8 @@
     """A closed interval of numbers.
 
     :param kind: ``int`` or ``float``; a float parameter accepts an int.
-    :param low: least accepted value, or ``None``.
-    :param high: greatest accepted value, or ``None``.
+    :param low: smallest accepted value, or ``None`` for no limit.
+    :param high: largest accepted value, or ``None`` for no limit.
     """
 
     kind: type
@@ -39,10 +39,11 @@
 
 
 class Parameterized:
-    """Base of the decision classes.
+    """Base class of the policies.
 
-    A subclass's constructor only stores its parameters under their own names and
-    declares in ``_parameter_constraints`` what each accepts.
+    The constructor of a subclass only stores its parameters under their own names.
+    ``_parameter_constraints`` declares the accepted values of each parameter; they
+    are validated on first use.
     """
 
     _parameter_constraints = {}
@@ -76,7 +77,7 @@
         return self
 
     def _check_params(self):
-        """Check each parameter once; later calls cost a dictionary look-up."""
+        """Validate the parameters once; later calls cost only a dictionary lookup."""
         if "_checked" in self.__dict__:
             return
         for name, constraint in self._parameter_constraints.items():
--- a/boragegw/utils/_tasks.py
+++ b/boragegw/utils/_tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks that are kept alive, logged when they fail, and ended together."""
+"""Sets of background tasks that are referenced, logged on failure and cancelled."""
 
 import asyncio
 import logging
@@ -7,7 +7,10 @@
 
 
 class TaskSet:
-    """Tasks of one owner."""
+    """Background tasks of one owner.
+
+    The set references the tasks, since the event loop keeps only weak references.
+    """
 
     def __init__(self):
         self._tasks = set()
@@ -19,10 +22,10 @@
         """Run ``coroutine`` as a task and return the task."""
         task = asyncio.get_running_loop().create_task(coroutine, name=name)
         self._tasks.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._on_done)
         return task
 
-    def _finished(self, task):
+    def _on_done(self, task):
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             logger.error(
@@ -32,13 +35,13 @@
             )
 
     async def stop(self):
-        """Cancel all tasks and wait until they have ended."""
+        """Cancel all tasks and wait until they have finished."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def drain(self):
-        """Wait until all tasks have ended by themselves."""
+        """Wait until all tasks have finished, without cancelling them."""
         while self._tasks:
             await asyncio.wait(list(self._tasks))
--- a/boragegw/utils/_tokens.py
+++ b/boragegw/utils/_tokens.py
@@ -1,18 +1,18 @@
-"""A token bucket: the budget form of retries, hedges, probes and reads."""
+"""Token bucket, used as budget of retries, hedges, probes and reads."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True)
 class TokenBucket:
-    """A budget that fills by events and by time.
+    """A token bucket that is refilled by events and over time.
 
-    :param capacity: most tokens held.
+    :param capacity: most tokens in the bucket.
     :param per_second: tokens added each second.
-    :param tokens: tokens held now.
+    :param tokens: tokens currently in the bucket.
     :param updated_at: time of the last refill, in monotonic seconds.
-    :param spent: tokens taken since the start.
-    :param refused: takes that found too few tokens.
+    :param spent: tokens taken since creation.
+    :param refused: calls of :meth:`take` that found too few tokens.
     """
 
     capacity: float
@@ -27,13 +27,13 @@
         self.tokens = min(self.capacity, self.tokens + amount)
 
     def refill(self, now):
-        """Add what the time since the last refill earned."""
+        """Add the tokens for the time since the last refill."""
         elapsed = max(0.0, now - self.updated_at)
         self.updated_at = now
         self.add(elapsed * self.per_second)
 
     def take(self, now, amount=1.0):
-        """Take ``amount`` tokens; return False and take none if too few are held."""
+        """Take ``amount`` tokens; return False and take none if there are too few."""
         self.refill(now)
         if self.tokens < amount:
             self.refused += 1
--- a/boragegw/utils/_virtual_time.py
+++ b/boragegw/utils/_virtual_time.py
@@ -1,7 +1,7 @@
-"""An event loop whose time jumps to the next timer instead of waiting.
+"""An event loop in virtual time, which advances to the next timer without waiting.
 
-Code under test runs unchanged: sleeps, timeouts and deadlines take no real time,
-and the order of events depends on the program and its seeds alone.
+Code under test runs unchanged. Sleeps, timeouts and deadlines take no real time, and
+the order of events depends only on the program and its random seeds.
 """
 
 import asyncio
@@ -9,8 +9,8 @@
 import selectors
 
 
-class _JumpingSelector(selectors.SelectSelector):
-    """Advances the loop's time by the time it would have waited."""
+class _VirtualTimeSelector(selectors.SelectSelector):
+    """Advances virtual time by each timeout instead of waiting for it."""
 
     def __init__(self):
         super().__init__()
@@ -25,24 +25,28 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """An asyncio loop in virtual time; it does no input or output."""
+    """An asyncio event loop in virtual time, without input and output."""
 
     def __init__(self):
-        self._jumping_selector = _JumpingSelector()
-        super().__init__(self._jumping_selector)
+        self._virtual_time_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_time_selector)
         self._clock_resolution = 1e-9
 
     def time(self):
-        """Return virtual seconds since the loop was made."""
-        return self._jumping_selector.elapsed
+        """Return virtual seconds since the loop was created."""
+        return self._virtual_time_selector.elapsed
 
     def skip(self, seconds):
-        """Jump forward as a process does that was paused: timers run late."""
-        self._jumping_selector.elapsed += seconds
+        """Advance virtual time as if the process had been suspended.
+
+        Timers that are due meanwhile run late.
+        """
+        self._virtual_time_selector.elapsed += seconds
 
     def _run_once(self):
-        # A timer's wait is computed by subtraction; rounding could leave the
-        # clock a hair before the timer, which would then spin at zero timeout.
+        # The base class computes a timer's timeout by subtraction. Rounding could
+        # leave virtual time just before the timer, and the loop would then spin with
+        # a timeout of zero.
         if not self._ready and self._scheduled:
             while self._scheduled and self._scheduled[0]._cancelled:
                 handle = heapq.heappop(self._scheduled)
@@ -50,12 +54,12 @@
                 self._timer_cancelled_count -= 1
             if self._scheduled:
                 when = self._scheduled[0]._when
-                selector = self._jumping_selector
+                selector = self._virtual_time_selector
                 selector.elapsed = max(selector.elapsed, when)
         super()._run_once()
 
 
 def run_virtual(coroutine):
-    """Run ``coroutine`` to its end in virtual time and return its result."""
+    """Run ``coroutine`` to completion in virtual time and return its result."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(coroutine)
--- a/boragegw/utils/tests/test_bounded_dict.py
+++ b/boragegw/utils/tests/test_bounded_dict.py
@@ -1,4 +1,4 @@
-"""Dictionaries of limited size."""
+"""Eviction from dictionaries of bounded size."""
 
 from boragegw import utils
 
