--- a/boragegw/errors/__init__.py
+++ b/boragegw/errors/__init__.py
@@ -1,4 +1,4 @@
-"""Verdicts and errors with stable codes."""
+"""Errors with stable codes, verdicts on execution, and problem documents."""
 
 from boragegw.errors._errors import (
     BoragegwError,
--- a/boragegw/errors/_errors.py
+++ b/boragegw/errors/_errors.py
@@ -1,4 +1,4 @@
-"""Exceptions; each carries a stable code that callers and operators can rely on."""
+"""Exceptions; each has a stable code that callers and operators can rely on."""
 
 import enum
 
@@ -6,10 +6,10 @@
 
 
 class Code(enum.StrEnum):
-    """Stable error codes and the HTTP status each is sent with."""
+    """Stable error codes, each with its HTTP status."""
 
     def __new__(cls, value, status):
-        """Make a member with its HTTP ``status``."""
+        """Create a member with its HTTP ``status``."""
         member = str.__new__(cls, value)
         member._value_ = value
         member.status = status
@@ -42,11 +42,11 @@
 
 
 class BoragegwError(Exception):
-    """Base of the project's errors.
+    """Base class of this package's errors.
 
-    :param code: a member of :class:`Code`, or for errors that no caller sees the
-        name of the error.
-    :param detail: one line for a person.
+    :param code: a member of :class:`Code`, or the name of an error that is never sent
+        to callers.
+    :param detail: one line of text for humans.
     """
 
     def __init__(self, code, detail):
@@ -56,7 +56,7 @@
 
 
 class RequestError(BoragegwError):
-    """A request ends without a backend server's answer.
+    """A request ends without a response of a backend server.
 
     :param verdict: whether the request may have run.
     :param retry_after: seconds after which a new request makes sense, or ``None``.
@@ -69,12 +69,12 @@
 
     @classmethod
     def not_run(cls, code, detail, retry_after=None):
-        """Return an error for a request that was proved not to have run."""
+        """Return an error for a request that is known not to have run."""
         return cls(code, detail, _verdict.Verdict.NOT_RUN, retry_after)
 
 
 class TruncatedResponseError(BoragegwError):
-    """An answer ended before it was whole; it must not be passed on as whole."""
+    """A response ended early; it must not be forwarded as complete."""
 
     def __init__(self, detail):
         super().__init__("truncated-answer", detail)
@@ -84,7 +84,7 @@
     """A settings file, document or questionnaire is not valid.
 
     :param source: file or document name.
-    :param key: the key at fault.
+    :param key: the invalid key.
     """
 
     def __init__(self, source, key, detail):
@@ -94,7 +94,7 @@
 
 
 class PlatformError(BoragegwError):
-    """The platform could not be read, or returned something unusable."""
+    """A read from the platform failed or returned an unusable response."""
 
     def __init__(self, detail):
         super().__init__("platform", detail)
--- a/boragegw/errors/_problem.py
+++ b/boragegw/errors/_problem.py
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ProblemDocument:
-    """A refusal in the form it is sent.
+    """An HTTP response that reports an error.
 
     :param status: HTTP status.
     :param headers: header pairs of bytes.
--- a/boragegw/errors/_verdict.py
+++ b/boragegw/errors/_verdict.py
@@ -1,4 +1,4 @@
-"""The verdict: whether a request may have run on a backend server."""
+"""Verdict on whether a request ran on a backend server."""
 
 import enum
 
@@ -6,8 +6,8 @@
 class Verdict(enum.StrEnum):
     """What is known about the execution of a request.
 
-    ``NOT_RUN`` is only given by proof: no byte of the request was handed to a
-    connection, or the backend server said that it did not run it.
+    ``NOT_RUN`` requires proof: no byte of the request was written to a connection, or
+    the backend server stated that it did not run the request.
     """
 
     NOT_RUN = "not-run"
@@ -16,5 +16,5 @@
 
     @property
     def allows_retry(self):
-        """Whether even a non-idempotent request may be sent again."""
+        """Whether the request may be retried even if it is not idempotent."""
         return self is Verdict.NOT_RUN
