--- a/boragegw/messages/__init__.py
+++ b/boragegw/messages/__init__.py
@@ -1,4 +1,4 @@
-"""Requests and answers as they pass between interfaces."""
+"""Requests, responses and headers, as passed between the interfaces of a process."""
 
 from boragegw.messages._body import Body
 from boragegw.messages._headers import (
--- a/boragegw/messages/_body.py
+++ b/boragegw/messages/_body.py
@@ -1,4 +1,4 @@
-"""The body of a request: read once, sent again only while it is held whole."""
+"""The body of a request: read once, replayable while it is buffered completely."""
 
 import hashlib
 
@@ -9,16 +9,16 @@
     """A body that arrives in chunks.
 
     :param source: async iterator of bytes, or ``None`` for an empty body.
-    :param buffer_limit: bytes held for a further attempt; a longer body is streamed
-        and can be sent once only.
-    :param size_limit: most bytes accepted in all.
+    :param buffer_limit: bytes buffered for further attempts; a longer body is
+        streamed and can be sent only once.
+    :param size_limit: most bytes accepted in total.
     """
 
     def __init__(self, source=None, buffer_limit=65_536, size_limit=1 << 30):
         self.buffer_limit = buffer_limit
         self.size_limit = size_limit
         self._source = source
-        self._held = []
+        self._buffered = []
         self._size = 0
         self._complete = source is None
         self._streamed = False
@@ -26,9 +26,9 @@
 
     @classmethod
     def from_bytes(cls, content):
-        """Return a body that is held whole."""
+        """Return a completely buffered body."""
         body = cls()
-        body._take(content)
+        body._append(content)
         return body
 
     @property
@@ -38,7 +38,7 @@
 
     @property
     def replayable(self):
-        """Whether the body can be sent (again) from its first byte."""
+        """Whether the body can be sent from its first byte, also repeatedly."""
         return not self._streamed
 
     @property
@@ -51,10 +51,10 @@
         return self._hash.digest()
 
     def content(self):
-        """Return the whole body; it must be complete and within the buffer."""
-        return b"".join(self._held)
+        """Return the whole body, which must be complete and not streamed."""
+        return b"".join(self._buffered)
 
-    def _take(self, chunk):
+    def _append(self, chunk):
         self._size += len(chunk)
         if self._size > self.size_limit:
             raise errors.RequestError.not_run(
@@ -62,15 +62,15 @@
                 f"body above {self.size_limit} bytes",
             )
         self._hash.update(chunk)
-        self._held.append(chunk)
+        self._buffered.append(chunk)
 
     async def prefetch(self):
-        """Read until the body is complete or the buffer is full."""
+        """Read until the body is complete or the buffer limit is reached."""
         while not self._complete and self._size < self.buffer_limit:
             await self._read()
 
     async def read_all(self):
-        """Read to the end, keeping at most the size limit."""
+        """Read and buffer the body to its end, up to the size limit."""
         while not self._complete:
             await self._read()
 
@@ -80,17 +80,22 @@
         except StopAsyncIteration:
             self._complete = True
             return
-        self._take(chunk)
+        self._append(chunk)
 
     async def chunks(self):
-        """Yield the body from its first byte; beyond the buffer only once."""
+        """Yield the body from its first byte.
+
+        A body that is incomplete when this is called is streamed, which works once.
+
+        :raises RuntimeError: if the body has been streamed.
+        """
         if self._streamed:
             raise RuntimeError("the body has been streamed and cannot be sent again")
-        for chunk in list(self._held):
+        for chunk in list(self._buffered):
             yield chunk
         while not self._complete:
             self._streamed = True
-            self._held.clear()
+            self._buffered.clear()
             await self._read()
-            while self._held:
-                yield self._held.pop(0)
+            while self._buffered:
+                yield self._buffered.pop(0)
--- a/boragegw/messages/_headers.py
+++ b/boragegw/messages/_headers.py
@@ -1,4 +1,4 @@
-"""Header names, and which headers cross this system."""
+"""Header names, and the headers that are forwarded end to end."""
 
 INTERNAL_HEADER_PREFIX = b"boragegw-"
 
@@ -36,18 +36,20 @@
 
 
 def end_to_end_headers(headers):
-    """Yield the headers that may cross: neither hop-by-hop nor internal.
+    """Yield the headers that are forwarded: neither hop-by-hop nor internal.
 
-    Guards against a caller that forges internal headers, and against a backend
-    server that answers with a verdict of its own: both would be believed further on.
+    Internal headers are dropped because a caller could forge them, or a backend
+    server could send a verdict of its own, and later hops would trust them.
     """
-    named = find_header(headers, b"connection", b"")
-    listed = {part.strip() for part in named.lower().split(b",")} if named else ()
+    connection = find_header(headers, b"connection", b"")
+    connection_options = (
+        {part.strip() for part in connection.lower().split(b",")} if connection else ()
+    )
     for key, value in headers:
         if (
             key in HOP_BY_HOP_HEADERS
             or key.startswith(INTERNAL_HEADER_PREFIX)
-            or key in listed
+            or key in connection_options
         ):
             continue
         yield key, value
--- a/boragegw/messages/_request.py
+++ b/boragegw/messages/_request.py
@@ -1,4 +1,4 @@
-"""A request on its way from a caller to a backend server."""
+"""A request from a caller to a backend server."""
 
 import dataclasses
 import hashlib
@@ -12,10 +12,10 @@
 
     :param target: path and query as sent to the backend server.
     :param headers: end-to-end header pairs of bytes, names in lower case.
-    :param deadline: monotonic seconds by which the answer must begin.
-    :param key: idempotency key, "" if the caller gave none.
-    :param retries_left: attempts that the layers above still allow beyond the first.
-    :param trace: the span context of the hop before, or ``None``.
+    :param deadline: monotonic seconds by which the response must begin.
+    :param key: idempotency key, "" if the caller sent none.
+    :param retries_left: retries that the previous hops still allow.
+    :param trace: the span context of the previous hop, or ``None``.
     """
 
     request_id: str
@@ -35,21 +35,21 @@
         return self.target.partition("?")[0]
 
     def fingerprint(self):
-        """Return the digest that tells this request from another under its key.
+        """Return the digest that identifies the request content of a key.
 
-        It covers the caller's credentials, so that a key guessed or repeated by
-        somebody else does not reveal the stored answer. The body must be complete.
+        It includes the caller's credentials, so that another caller that guesses or
+        repeats the key does not get the stored answer. The body must be complete.
         """
         credentials = _headers.find_header(self.headers, b"authorization", b"")
         cookie = _headers.find_header(self.headers, b"cookie", b"")
-        kind = _headers.find_header(self.headers, b"content-type", b"")
+        content_type = _headers.find_header(self.headers, b"content-type", b"")
         parts = (
             self.service.encode(),
             self.method.encode(),
             self.target.encode(),
             credentials,
             cookie,
-            kind,
+            content_type,
             self.body.digest(),
         )
         digest = hashlib.blake2b(digest_size=16)
