--- a/boragegw/sources/__init__.py
+++ b/boragegw/sources/__init__.py
@@ -1,4 +1,4 @@
-"""What the platform publishes, read and watched; never written."""
+"""Read-only clients of the platform's configuration and list of VMs."""
 
 from boragegw.sources._base import ConfigurationSource, FleetSource
 from boragegw.sources._http import HttpConfigurationSource, HttpFleetSource
--- a/boragegw/sources/_base.py
+++ b/boragegw/sources/_base.py
@@ -1,10 +1,10 @@
-"""Interfaces to the platform."""
+"""Interfaces of the platform's configuration and list of VMs."""
 
 import abc
 
 
 class ConfigurationSource(abc.ABC):
-    """The platform's configuration service."""
+    """Reads and watches the platform's configuration."""
 
     @abc.abstractmethod
     async def read_head(self):
@@ -15,9 +15,9 @@
 
     @abc.abstractmethod
     async def watch_head(self, revision, timeout):
-        """Return the raw head once its revision exceeds ``revision``.
+        """Return the raw head as soon as its revision exceeds ``revision``.
 
-        :param timeout: seconds after which the head is returned as it is.
+        :param timeout: seconds after which the unchanged head is returned.
         :raises PlatformError: if it cannot be read.
         """
 
@@ -30,12 +30,12 @@
 
 
 class FleetSource(abc.ABC):
-    """The platform's lagging list of live and leaving VMs."""
+    """Watches the platform's list of live and leaving VMs, which may lag behind."""
 
     @abc.abstractmethod
     async def watch_vms(self, version, timeout):
-        """Return the raw list once its version exceeds ``version``.
+        """Return the raw list as soon as its version exceeds ``version``.
 
-        :param timeout: seconds after which the list is returned as it is.
+        :param timeout: seconds after which the unchanged list is returned.
         :raises PlatformError: if it cannot be read.
         """
--- a/boragegw/sources/_http.py
+++ b/boragegw/sources/_http.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP; paths as in ``docs/interfaces/platform.md``."""
+"""HTTP clients of the platform; ``docs/interfaces/platform.md`` describes the paths."""
 
 import itertools
 
@@ -7,12 +7,12 @@
 from boragegw import errors
 from boragegw.sources import _base
 
-CONNECT_TIMEOUT = 1.0
-READ_TIMEOUT = 2.0
+CONNECT_TIMEOUT_SECONDS = 1.0
+READ_TIMEOUT_SECONDS = 2.0
 
 
-class _Reader:
-    """Reads from one of several addresses, the next one after each failure.
+class _FailoverClient:
+    """HTTP client that fails over to the next address after each failed read.
 
     :param addresses: list of ``host:port``.
     """
@@ -20,18 +20,25 @@
     def __init__(self, addresses):
         self.addresses = addresses
         self._client = None
-        self._turn = itertools.cycle(addresses)
-        self._address = next(self._turn)
+        self._next_addresses = itertools.cycle(addresses)
+        self._address = next(self._next_addresses)
 
     async def get(self, path, limit, params=None, wait=0.0):
-        """Return the body of a 200 answer of at most ``limit`` bytes."""
+        """Return the body of a response with status 200.
+
+        :param limit: most bytes accepted.
+        :param wait: seconds that the platform may hold the request back.
+        :raises PlatformError: if the read fails.
+        """
         if self._client is None:
             self._client = httpx.AsyncClient(trust_env=False)
-        timeout = httpx.Timeout(READ_TIMEOUT + wait, connect=CONNECT_TIMEOUT)
+        timeout = httpx.Timeout(
+            READ_TIMEOUT_SECONDS + wait, connect=CONNECT_TIMEOUT_SECONDS
+        )
         try:
             return await self._fetch(path, limit, params, timeout)
         except (httpx.HTTPError, errors.PlatformError) as error:
-            self._address = next(self._turn)
+            self._address = next(self._next_addresses)
             if isinstance(error, errors.PlatformError):
                 raise
             name = type(error).__name__
@@ -56,50 +63,50 @@
 
 
 class HttpConfigurationSource(_base.ConfigurationSource):
-    """The configuration service over HTTP.
+    """The platform's configuration over HTTP.
 
     :param addresses: list of ``host:port``.
     """
 
     def __init__(self, addresses):
         self.addresses = addresses
-        self._reader = _Reader(addresses)
+        self._http = _FailoverClient(addresses)
 
     async def read_head(self):
         """Return the raw head document."""
-        return await self._reader.get("/v1/configuration/head", 1 << 20)
+        return await self._http.get("/v1/configuration/head", 1 << 20)
 
     async def watch_head(self, revision, timeout):
-        """Return the raw head once it exceeds ``revision``, or at the timeout."""
+        """Return the raw head once it exceeds ``revision``, or after ``timeout``."""
         params = {"after": revision, "timeout": timeout}
-        return await self._reader.get(
+        return await self._http.get(
             "/v1/configuration/watch", 1 << 20, params, wait=timeout
         )
 
     async def read_document(self, name):
         """Return the raw document ``name``."""
-        return await self._reader.get(f"/v1/configuration/documents/{name}", 1 << 20)
+        return await self._http.get(f"/v1/configuration/documents/{name}", 1 << 20)
 
     async def aclose(self):
         """Close the connections."""
-        await self._reader.aclose()
+        await self._http.aclose()
 
 
 class HttpFleetSource(_base.FleetSource):
-    """The list of VMs over HTTP.
+    """The platform's list of VMs over HTTP.
 
     :param addresses: list of ``host:port``.
     """
 
     def __init__(self, addresses):
         self.addresses = addresses
-        self._reader = _Reader(addresses)
+        self._http = _FailoverClient(addresses)
 
     async def watch_vms(self, version, timeout):
-        """Return the raw list once it exceeds ``version``, or at the timeout."""
+        """Return the raw list once it exceeds ``version``, or after ``timeout``."""
         params = {"after": version, "timeout": timeout}
-        return await self._reader.get("/v1/vms/watch", 16 << 20, params, wait=timeout)
+        return await self._http.get("/v1/vms/watch", 16 << 20, params, wait=timeout)
 
     async def aclose(self):
         """Close the connections."""
-        await self._reader.aclose()
+        await self._http.aclose()
--- a/boragegw/sources/tests/test_sources_contract.py
+++ b/boragegw/sources/tests/test_sources_contract.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP: what each of its failures becomes."""
+"""Reads from the platform over HTTP, and the errors that its failures raise."""
 
 import asyncio
 
