--- a/boragegw/blackboard/__init__.py
+++ b/boragegw/blackboard/__init__.py
@@ -1,4 +1,4 @@
-"""The in-memory state of one entry process: data classes, one writer a section."""
+"""In-memory state of an entry process, in sections with a single writer each."""
 
 from boragegw.blackboard._backends import (
     BackendState,
--- a/boragegw/blackboard/_backends.py
+++ b/boragegw/blackboard/_backends.py
@@ -8,7 +8,7 @@
 
 
 class Phase(enum.StrEnum):
-    """Temperature of a backend server; unknown counts as cold."""
+    """Temperature of a backend server; an unknown temperature counts as cold."""
 
     COLD = "cold"
     WARM = "warm"
@@ -16,13 +16,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a backend server says of itself, on an answer or to a probe.
+    """Load report of a backend server, sent with a response or as answer to a probe.
 
-    :param in_flight: requests it holds, running or queued.
-    :param cold: it says that it is cold.
-    :param draining: it wants no new work.
+    :param in_flight: requests running or queued on the backend server.
+    :param cold: whether it reports itself as cold.
+    :param draining: whether it accepts no new requests.
     :param incarnation: changes with each start of the backend server.
-    :param received_at: monotonic seconds at which the report arrived here.
+    :param received_at: monotonic seconds at which this process received the report.
     """
 
     in_flight: int
@@ -34,7 +34,10 @@
 
 @dataclasses.dataclass(slots=True)
 class PeerCount:
-    """Requests that one other entry has in flight on a backend server."""
+    """Requests in flight from another entry to a backend server.
+
+    :param received_at: monotonic seconds at which the count was received.
+    """
 
     in_flight: int
     received_at: float
@@ -42,25 +45,36 @@
 
 @dataclasses.dataclass(slots=True)
 class BackendState:
-    """One backend server. Writers: the dispatcher (counts), the load report
-    controller (reports, temperature, slowdown), the gossip controller (peers).
+    """State of one backend server, times in monotonic seconds.
 
-    :param own_in_flight: this entry's requests in flight; exact.
+    Writers are the dispatcher (counts), the health observer (reports, temperature,
+    slowdown), the gossip controller (peers) and the services controller (recalls,
+    warmers).
+
+    :param own_in_flight: this entry's requests in flight; an exact count.
     :param peers: other entries' counts by incarnation.
-    :param phase: temperature in the shared view.
+    :param report: latest load report, or ``None``.
+    :param phase: temperature, as agreed between the entries.
     :param slow_start_limit: requests in flight permitted while cold.
     :param cold_since: time of the last turn to cold.
-    :param cold_epoch: wall milliseconds of the last turn to cold; the later turn
-        wins when entries exchange temperatures.
-    :param latency: smoothed time to the answer's head, in seconds, 0 before the first.
-    :param warm_latency: the same, learned while warm.
+    :param cold_epoch: wall clock milliseconds of the last turn to cold; the latest
+        epoch wins when entries exchange temperatures.
+    :param incarnation: incarnation of the latest load report, "" before the first.
+    :param latency: smoothed time to the response's head in seconds, 0 before the
+        first response.
+    :param warm_latency: smoothed time to the response's head while warm, in seconds.
     :param attempt_start_times: start times of this entry's attempts in flight, by
         attempt id.
     :param failures: consecutive failed attempts.
-    :param ejected_until: no new work before this time, unless most of the service is
-        ejected.
-    :param verifying: a broken connection is being looked into; no work until then.
-    :param demoted_until: used only where no other backend server has room.
+    :param ejected_until: end of the ejection; until then it gets no new requests,
+        unless most backend servers of the service are ejected.
+    :param demoted_until: end of the demotion; until then it is used only if no other
+        backend server has capacity.
+    :param recalled: whether it belongs to a recalled batch.
+    :param is_warmer: whether this entry warms it.
+    :param removed: whether the platform no longer lists it.
+    :param verifying: whether it is being probed after a broken connection; it gets no
+        requests meanwhile.
     """
 
     vm: object
@@ -90,12 +104,16 @@
 
     @property
     def draining(self):
-        """Whether it asked for no new work or the platform says that it leaves."""
+        """Whether it reported draining or is listed as leaving by the platform."""
         reported = self.report is not None and self.report.draining
         return self.vm.leaving or reported
 
     def peers_in_flight(self, now, horizon):
-        """Return the other entries' requests in flight heard of within ``horizon``."""
+        """Return the other entries' requests in flight.
+
+        :param now: monotonic seconds.
+        :param horizon: age in seconds above which a count is ignored.
+        """
         if not self.peers:
             return 0
         oldest = now - horizon
@@ -106,12 +124,16 @@
 
 @dataclasses.dataclass(slots=True)
 class ServiceState:
-    """One service's backend servers, queue and budgets. Writer: the dispatcher.
+    """Backend servers, queue and budgets of one service. Writer: the dispatcher.
 
-    :param in_flight: this entry's requests in flight on all of them.
+    :param settings: its :class:`ServiceSettings`.
+    :param in_flight: this entry's requests in flight on all backend servers.
+    :param backends: :class:`BackendState` by name.
     :param waiting: requests that wait for a backend server, in order of arrival.
-    :param finished: own requests finished (for rates).
-    :param arrivals: times of recent arrivals, for the request rate.
+    :param latency: smoothed time to the response's head in seconds.
+    :param latencies: recent times to the response's head in seconds.
+    :param finish_rate: smoothed rate of this entry's finished requests per second.
+    :param finished: this entry's requests finished since ``finish_rate`` was updated.
     """
 
     settings: object
--- a/boragegw/blackboard/_blackboard.py
+++ b/boragegw/blackboard/_blackboard.py
@@ -1,4 +1,4 @@
-"""The blackboard: the sections, and who this process is."""
+"""The blackboard: the shared state of a process, and the identity of the process."""
 
 import collections
 import dataclasses
@@ -8,7 +8,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """This process, from its settings and a random draw at start."""
+    """Identity of this process, from its settings.
+
+    :param incarnation: random number drawn at startup.
+    """
 
     name: str
     data_centre: str
@@ -19,7 +22,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Lifecycle:
-    """Where this process is in its life. Writer: the shutdown controller."""
+    """Lifecycle state of this process. Writer: the node.
+
+    :param in_flight: requests of callers and peers that are being handled.
+    """
 
     state: _members.MemberState = _members.MemberState.STARTING
     in_flight: int = 0
@@ -27,11 +33,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Blackboard:
-    """All state that controllers and decisions share within a process.
+    """State shared by the controllers and decisions of a process.
 
+    :param services: :class:`ServiceState` by name.
+    :param quarantined: expiry (monotonic seconds) by request fingerprint. Writers are
+        the executor and the node.
     :param counters: metric counters by documented name.
-    :param quarantined: expiry (monotonic seconds) by request fingerprint. Writer: the
-        carrier and the gossip controller.
+    :param timings: the latest 1,000 durations in seconds, by name.
     """
 
     identity: Identity
--- a/boragegw/blackboard/_fleet.py
+++ b/boragegw/blackboard/_fleet.py
@@ -1,4 +1,4 @@
-"""What the platform publishes: the configuration and the list of VMs."""
+"""Published state of the platform: the configuration and the list of VMs."""
 
 import dataclasses
 
@@ -10,11 +10,15 @@
 class VirtualMachine:
     """One row of the platform's list of VMs.
 
-    :param address: ``host:port`` that carries requests (of an entry VM: of callers).
-    :param peer_address: ``host:port`` of an entry VM's peer interface, else "".
+    :param role: :data:`ROLE_BACKEND` or :data:`ROLE_ENTRY`.
+    :param address: ``host:port`` for requests; of an entry VM for those of callers.
+    :param service: service of a backend server, else "".
+    :param release: release that a backend server runs.
+    :param labels: labels that recalls can name.
     :param slots: requests a backend server runs at once.
     :param connections: connections a backend server accepts from all entries.
-    :param leaving: the platform has announced that the VM goes.
+    :param peer_address: ``host:port`` of an entry VM's peer interface, else "".
+    :param leaving: whether the platform has announced the removal of the VM.
     """
 
     name: str
@@ -32,10 +36,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Recall:
-    """A batch of backend servers that gets no new work.
+    """A batch of backend servers that gets no new requests.
 
     :param kind: ``data-centre``, ``release``, ``label`` or ``vms``.
-    :param values: the batch's names.
+    :param values: names of the data centres, releases, labels or VMs in the batch.
     """
 
     kind: str
@@ -54,20 +58,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceSettings:
-    """The decided settings of one service, times in seconds.
+    """Resolved settings of one service, times in seconds.
 
     :param idempotent_rules: triples (method, path prefix, idempotent); the first
-        that matches decides. GET and HEAD are idempotent where none matches.
+        match decides. Without a match only GET and HEAD are idempotent.
     :param harm_rules: triples (method, path prefix, harm); 0 is the least harm.
-    :param deadline: time a request may take where its caller states none.
+    :param deadline: time limit of a request whose caller states none.
     :param in_flight_factor: requests in flight per slot of a backend server.
     :param queue_limit: requests that may wait in one entry.
-    :param cold_in_flight: requests in flight that a cold backend server bears.
-    :param warm_up: least time from cold to warm.
-    :param subset_size: entry VMs named to callers, besides the spares.
+    :param cold_in_flight: requests in flight that a cold backend server can handle.
+    :param warm_up: shortest time from cold to warm.
+    :param subset_size: entry VMs returned to callers, besides the spares.
     :param hedge_budget: share of idempotent requests that may be hedged.
-    :param retry_budget: retries earned by each request.
-    :param probe_budget: probes earned by each request.
+    :param retry_budget: retries added to the budget by each request.
+    :param probe_budget: probes added to the budget by each request.
+    :param non_idempotent_body_limit: most bytes of a non-idempotent request's body.
+    :param body_limit: most bytes of a request's body.
     """
 
     name: str
@@ -86,7 +92,7 @@
     body_limit: int = 1 << 30
 
     def is_idempotent(self, method, path):
-        """Return whether a request may run more than once."""
+        """Return whether it is safe to run a request more than once."""
         for rule_method, prefix, idempotent in self.idempotent_rules:
             if rule_method in ("*", method) and path.startswith(prefix):
                 return idempotent
@@ -102,14 +108,17 @@
 
 @dataclasses.dataclass(slots=True)
 class ConfigurationSection:
-    """The configuration in force. Writer: the configuration controller.
+    """The current configuration. Writer: the configuration controller.
 
-    :param revision: revision of the head in force, 0 before the first.
-    :param head: the raw head document (bytes), to be passed to peers unchanged.
+    :param revision: revision of the current head, 0 before the first.
+    :param head: the raw head document, passed to peers unchanged.
     :param documents: raw documents by name.
-    :param confirmed_at: monotonic time at which this revision was last known to be
+    :param services: :class:`ServiceSettings` by name.
+    :param recalls: the :class:`Recall` objects in force.
+    :param confirmed_at: monotonic seconds at which this revision was last known to be
         the platform's latest.
-    :param rejected: revision and reason of the last document set refused.
+    :param adopted_at: monotonic seconds at which this revision was adopted.
+    :param rejected: reason of the latest rejection; "" since an adoption.
     """
 
     revision: int = 0
@@ -128,10 +137,12 @@
 
 @dataclasses.dataclass(slots=True)
 class FleetSection:
-    """The platform's list of VMs. Writer: the fleet controller.
+    """The platform's list of VMs. Writer: the configuration controller.
 
     :param version: version of the list, 0 before the first.
-    :param raw: the list as published, to be passed to peers unchanged.
+    :param raw: the list as published, passed to peers unchanged.
+    :param vms: :class:`VirtualMachine` by name.
+    :param confirmed_at: monotonic seconds at which a list was last received.
     """
 
     version: int = 0
--- a/boragegw/blackboard/_request_history.py
+++ b/boragegw/blackboard/_request_history.py
@@ -1,4 +1,4 @@
-"""The bounded memory of recent requests, for operators' questions."""
+"""Bounded history of recent requests, for operators who investigate a request."""
 
 import collections
 import dataclasses
@@ -6,7 +6,7 @@
 
 @dataclasses.dataclass(slots=True)
 class AttemptRecord:
-    """One attempt: where it went, why, and how it ended."""
+    """One attempt: its backend server, the reason for it, and its outcome."""
 
     attempt_id: str
     backend: str
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestRecord:
-    """One request's way through this entry."""
+    """One request with its attempts and outcome in this entry."""
 
     request_id: str
     service: str
@@ -35,27 +35,27 @@
 class RequestHistory:
     """The latest requests by id.
 
-    :param capacity: requests remembered; the oldest goes first.
+    :param capacity: most requests kept; the oldest is evicted first.
     """
 
     def __init__(self, capacity=2000):
         self.capacity = capacity
-        self._notes = collections.OrderedDict()
+        self._records = collections.OrderedDict()
 
     def __len__(self):
-        return len(self._notes)
+        return len(self._records)
 
-    def add(self, note):
-        """Remember ``note`` and return it."""
-        self._notes[note.request_id] = note
-        while len(self._notes) > self.capacity:
-            self._notes.popitem(last=False)
-        return note
+    def add(self, record):
+        """Add ``record`` and return it."""
+        self._records[record.request_id] = record
+        while len(self._records) > self.capacity:
+            self._records.popitem(last=False)
+        return record
 
     def find(self, request_id):
-        """Return the note of a request, or ``None``."""
-        return self._notes.get(request_id)
+        """Return the record of a request, or ``None``."""
+        return self._records.get(request_id)
 
     def latest(self, count):
         """Return the ids of the ``count`` latest requests, the newest first."""
-        return list(reversed(self._notes))[:count]
+        return list(reversed(self._records))[:count]
