--- a/boragegw/controllers/__init__.py
+++ b/boragegw/controllers/__init__.py
@@ -1,4 +1,4 @@
-"""Tasks and event handlers that read and write the blackboard."""
+"""Controllers: background tasks and event handlers that update the blackboard."""
 
 from boragegw.controllers._configuration import ConfigurationController
 from boragegw.controllers._dispatcher import Dispatcher
--- a/boragegw/controllers/_configuration.py
+++ b/boragegw/controllers/_configuration.py
@@ -1,4 +1,4 @@
-"""Follows the platform's configuration and list of VMs, directly or through peers."""
+"""Replicates the platform's configuration and list of VMs, directly or from peers."""
 
 import logging
 
@@ -7,17 +7,27 @@
 
 logger = logging.getLogger(__name__)
 
-FAILURE_PAUSE = 0.5
-IDLE_PAUSE = 0.25
+#: Mean back-off in seconds after a failed read; jitter makes it 0.5 to 1.5 times that.
+FAILURE_BACKOFF_SECONDS = 0.5
+#: Interval in seconds at which a non-reader checks its role, and at which a read that
+#: exceeds the budget checks the budget again.
+POLL_SECONDS = 0.25
 
 
 class ConfigurationController:
-    """Writes the configuration and fleet sections. It never goes back.
+    """Writes the configuration and fleet sections; revisions only ever increase.
+
+    A few reader entries of each data centre watch the platform. The others fetch new
+    revisions from the peers whose heartbeats report them.
 
     :param source: a :class:`~boragegw.sources.ConfigurationSource`.
     :param fleet_source: a :class:`~boragegw.sources.FleetSource`.
     :param reader_policy: a :class:`~boragegw.decisions.ReaderPolicy`.
-    :param on_change: called after anything new was adopted.
+    :param live_entries: function that returns the entries that callers may use.
+    :param watch_timeout: seconds after which a watch returns without a change.
+    :param reads_per_second: rate of this process's read budget.
+
+    ``on_change`` is called after a new revision or list of VMs was adopted.
     """
 
     def __init__(
@@ -46,20 +56,22 @@
         self.tasks = tasks
         self.sleep = sleep
         self.watch_timeout = watch_timeout
-        self.reads = utils.TokenBucket(
+        self.read_budget = utils.TokenBucket(
             capacity=2 * reads_per_second, per_second=reads_per_second, tokens=4.0
         )
         self.on_change = lambda: None
-        self._learning = False
+        self._fetching_from_peer = False
         self._platform_failing = False
 
     def adopt(self, raw_head, documents):
-        """Put a configuration in force if it is newer, whole and valid.
+        """Adopt a configuration if it is newer, complete and valid.
 
-        Guards against going back: a stale replica, a restarted platform or a peer
-        with an older view may offer an older revision, and a recall in force would
-        silently be undone. Only a greater revision is ever adopted.
+        Only a greater revision is ever adopted. A stale replica, a restarted platform
+        or a peer with an older view may offer an older revision, which would silently
+        undo a recall.
 
+        :param raw_head: the raw head document.
+        :param documents: the raw documents by name.
         :returns: whether it was adopted.
         """
         section = self.board.configuration
@@ -89,7 +101,7 @@
         self.board.counters["configuration.rejected"] += 1
 
     def adopt_vm_list(self, raw):
-        """Take a newer list of VMs; return whether it was newer."""
+        """Adopt the raw list of VMs if it is newer; return whether it was adopted."""
         section = self.board.fleet
         try:
             version, vms = configuration.parse_vm_list(raw)
@@ -107,7 +119,11 @@
         return True
 
     async def handle_head(self, raw_head):
-        """Act on a head read from the platform: confirm, or fetch what changed."""
+        """Handle a head read from the platform.
+
+        A head of the current revision confirms it. For a newer one the changed
+        documents are fetched and adopted.
+        """
         section = self.board.configuration
         try:
             head = _documents.parse_head(raw_head)
@@ -125,22 +141,22 @@
             section.confirmed_at = self.clock.now()
 
     async def _fetch_changed(self, head):
-        """Return the documents of ``head``; those unchanged are not read again."""
+        """Return the documents of ``head``, reading only those that changed."""
         section = self.board.configuration
-        held = self._held_hashes()
+        held = self._document_hashes()
         documents = {}
         for name, digest in head.documents.items():
             if held.get(name) == digest:
                 documents[name] = section.documents[name]
                 continue
-            await self._take_read()
+            await self._acquire_read()
             documents[name] = await self.source.read_document(name)
         return documents
 
-    async def _take_read(self):
-        """Wait for the read budget, which each process keeps for itself."""
-        while not self.reads.take(self.clock.now()):
-            await self.sleep(IDLE_PAUSE)
+    async def _acquire_read(self):
+        """Wait until this process's own read budget allows a read, and count it."""
+        while not self.read_budget.take(self.clock.now()):
+            await self.sleep(POLL_SECONDS)
         self.board.counters["configuration.reads"] += 1
 
     def _should_read(self):
@@ -151,88 +167,103 @@
         return self.reader_policy.is_reader(self.board.identity, self.live_entries())
 
     async def watch_configuration(self):
-        """Watch for ever, while this entry is a reader or nobody confirms."""
+        """Watch the configuration forever.
+
+        The platform is read only while this entry is a reader or the configuration
+        has not been confirmed recently.
+        """
         while True:
             if not self._should_read():
-                await self.sleep(IDLE_PAUSE)
+                await self.sleep(POLL_SECONDS)
                 continue
-            await self._guarded(self._watch_once)
+            await self._run_with_backoff(self._watch_configuration_once)
 
-    async def _watch_once(self):
-        await self._take_read()
+    async def _watch_configuration_once(self):
+        await self._acquire_read()
         timeout = min(self.watch_timeout, self.reader_policy.patience / 2)
         revision = self.board.configuration.revision
         await self.handle_head(await self.source.watch_head(revision, timeout))
 
     async def watch_vms(self):
-        """Watch the list of VMs for ever, under the same rule."""
+        """Watch the list of VMs forever, under the rule of the configuration watch."""
         while True:
             if not self._should_read():
-                await self.sleep(IDLE_PAUSE)
+                await self.sleep(POLL_SECONDS)
                 continue
-            await self._guarded(self._watch_vms_once)
+            await self._run_with_backoff(self._watch_vms_once)
 
     async def _watch_vms_once(self):
-        await self._take_read()
+        await self._acquire_read()
         version = self.board.fleet.version
         self.adopt_vm_list(
             await self.fleet_source.watch_vms(version, self.watch_timeout)
         )
 
-    async def _guarded(self, step):
-        """Run one step; after a failure pause with jitter and keep what is held."""
+    async def _run_with_backoff(self, step):
+        """Run one step; after a failure keep the current state and back off."""
         try:
             await step()
-            self._note_platform(None)
+            self._record_platform_result(None)
         except errors.PlatformError as error:
-            self._note_platform(error)
-            await self.sleep(FAILURE_PAUSE * (0.5 + self.random_state.random()))
+            self._record_platform_result(error)
+            await self.sleep(
+                FAILURE_BACKOFF_SECONDS * (0.5 + self.random_state.random())
+            )
 
-    def _note_platform(self, error):
-        """Count failures; log the first and the end of them, not each."""
+    def _record_platform_result(self, error):
+        """Count failures; log only the first failure and the recovery."""
         failing = error is not None
         if failing:
             self.board.counters["platform.failures"] += 1
         if failing and not self._platform_failing:
-            logger.warning("platform cannot be read: %s", error)
+            logger.warning("reading from the platform failed: %s", error)
         elif self._platform_failing and not failing:
-            logger.info("platform can be read again")
+            logger.info("reading from the platform succeeds again")
         self._platform_failing = failing
 
     def handle_heartbeat(self, member):
-        """Compare a peer's heartbeat with what is in force here."""
+        """Compare a peer's revisions with the local ones.
+
+        An equal revision passes on the peer's confirmation. A greater one starts a
+        fetch from that peer, unless a fetch is running.
+
+        :param member: the sender's :class:`~boragegw.blackboard.Member`.
+        """
         section = self.board.configuration
         if member.revision == section.revision:
-            heard_at = self.clock.now() - member.confirmed_age
-            section.confirmed_at = max(section.confirmed_at, heard_at)
+            confirmed_at = self.clock.now() - member.confirmed_age
+            section.confirmed_at = max(section.confirmed_at, confirmed_at)
         newer = member.revision > section.revision
         newer_vms = member.fleet_version > self.board.fleet.version
-        if (newer or newer_vms) and not self._learning:
-            self._learning = True
-            self.tasks.start(self._learn(member.peer_address), "learn configuration")
+        if (newer or newer_vms) and not self._fetching_from_peer:
+            self._fetching_from_peer = True
+            self.tasks.start(
+                self._try_fetch_from_peer(member.peer_address), "learn configuration"
+            )
 
-    async def _learn(self, address):
+    async def _try_fetch_from_peer(self, address):
         try:
             await self.fetch_from_peer(address)
         except peers.PeerError as error:
-            logger.warning("configuration not learned from peer: %s", error)
+            logger.warning("fetching the configuration from a peer failed: %s", error)
         finally:
-            self._learning = False
+            self._fetching_from_peer = False
 
     async def fetch_from_peer(self, address):
-        """Take a peer's configuration and list of VMs if they are newer.
+        """Fetch a peer's configuration and list of VMs, and adopt what is newer.
 
-        :raises PeerError: if the peer has none.
+        :param address: the peer's ``host:port``.
+        :raises PeerError: if the peer cannot provide them.
         """
         bundle = await self.network.fetch_configuration(
             address, self._known_configuration()
         )
         if bundle.head:
-            self.adopt(bundle.head, self._completed(bundle))
+            self.adopt(bundle.head, self._complete_documents(bundle))
         if bundle.vms:
             self.adopt_vm_list(bundle.vms)
 
-    def _held_hashes(self):
+    def _document_hashes(self):
         section = self.board.configuration
         if not section.head:
             return {}
@@ -242,31 +273,34 @@
         return peers.KnownConfiguration(
             self.board.configuration.revision,
             self.board.fleet.version,
-            frozenset(self._held_hashes().values()),
+            frozenset(self._document_hashes().values()),
         )
 
-    def _completed(self, bundle):
-        """Return a bundle's documents with those that are held here already."""
+    def _complete_documents(self, bundle):
+        """Return a bundle's documents, completed by local ones with the same hash."""
         try:
             wanted = _documents.parse_head(bundle.head).documents
         except errors.ConfigurationError:
             return bundle.documents
         held = {
             digest: self.board.configuration.documents[name]
-            for name, digest in self._held_hashes().items()
+            for name, digest in self._document_hashes().items()
         }
         kept = {name: held[h] for name, h in wanted.items() if h in held}
         return {**kept, **bundle.documents}
 
     def build_bundle(self, known):
-        """Return what is in force here and a peer does not know."""
+        """Return what a peer lacks of the current configuration and list of VMs.
+
+        :param known: the peer's :class:`~boragegw.peers.KnownConfiguration`.
+        """
         section = self.board.configuration
         head, documents = b"", {}
         if section.revision > known.revision:
             head = section.head
             documents = {
                 name: section.documents[name]
-                for name, digest in self._held_hashes().items()
+                for name, digest in self._document_hashes().items()
                 if digest not in known.hashes
             }
         newer = self.board.fleet.version > known.version
@@ -275,12 +309,14 @@
         )
 
     async def bootstrap(self, seeds):
-        """Ask platform and peers once each; what is greatest is in force afterwards.
+        """Read from the platform and from up to three peers; the newest is adopted.
+
+        Otherwise a new VM could start with the configuration of a stale replica of
+        the platform although its peers have a newer one.
 
-        Guards against a fresh VM that believes one stale replica of the platform
-        while its peers know better.
+        :param seeds: peer addresses to try besides those in the list of VMs.
         """
-        await self._guarded(self._read_once)
+        await self._run_with_backoff(self._read_once)
         listed = [vm.peer_address for vm in self.board.fleet.entries()]
         own = self.board.identity.peer_address
         addresses = {address for address in (*listed, *seeds) if address} - {own}
@@ -289,7 +325,7 @@
             try:
                 await self.fetch_from_peer(address)
             except peers.PeerError as error:
-                logger.info("peer not reached at start: %s", error)
+                logger.info("fetching the configuration at startup failed: %s", error)
 
     async def _read_once(self):
         self.adopt_vm_list(await self.fleet_source.watch_vms(0, 0.0))
@@ -297,5 +333,5 @@
 
     @property
     def ready(self):
-        """Whether there is a configuration and a list of VMs to work by."""
+        """Whether a configuration and a list of VMs have been adopted."""
         return self.board.configuration.revision > 0 and self.board.fleet.version > 0
--- a/boragegw/controllers/_dispatcher.py
+++ b/boragegw/controllers/_dispatcher.py
@@ -1,17 +1,20 @@
-"""Gives each request a backend server, at once or from the service's queue."""
+"""Assigns a backend server to each request, at once or from the service's queue."""
 
 import asyncio
 
 from boragegw import decisions, errors
 
-QUEUE_SCAN = 8
+#: Requests at the head of a queue that are considered for a free backend server.
+QUEUE_SCAN_LIMIT = 8
 
 
 class Dispatcher:
-    """Counts requests in flight, queues what finds no place, and sheds.
+    """Limits requests in flight, queues requests above the limits, and sheds load.
 
     :param board: the blackboard; this controller writes counts and queues.
     :param placement: a :class:`~boragegw.decisions.PlacementPolicy`.
+    :param limits: a :class:`~boragegw.decisions.LimitPolicy`.
+    :param queue: a :class:`~boragegw.decisions.QueuePolicy`.
     """
 
     def __init__(self, board, clock, random_state, placement, limits=None, queue=None):
@@ -23,26 +26,29 @@
         self.queue = queue or decisions.QueuePolicy()
 
     def try_acquire(self, service, excluded=frozenset()):
-        """Return a backend server with a place taken on it, or ``None``."""
-        backend = self._place(service, excluded)
+        """Reserve capacity on a backend server and return it, or ``None``.
+
+        :param excluded: names of backend servers already tried.
+        """
+        backend = self._choose_backend(service, excluded)
         if backend is not None:
             backend.own_in_flight += 1
             service.in_flight += 1
         return backend
 
     async def acquire(self, service, *, harm, deadline, excluded=frozenset()):
-        """Return a backend server with a place taken on it, waiting if need be.
+        """Reserve capacity on a backend server and return it, queueing if necessary.
 
-        :param harm: rank of the harm of losing the request.
+        :param harm: rank of the harm of losing the request; 0 is the least.
         :param deadline: monotonic seconds.
-        :param excluded: names of backend servers tried before.
+        :param excluded: names of backend servers already tried.
         :raises RequestError: with the verdict not-run.
         """
         if not service.waiting:
             backend = self.try_acquire(service, excluded)
             if backend is not None:
                 return backend
-        self._refuse_without_backend(service)
+        self._ensure_backend_possible(service)
         waiter = decisions.Waiter(
             harm,
             deadline,
@@ -59,22 +65,22 @@
         try:
             return await waiter.future
         except asyncio.CancelledError:
-            self._withdraw(service, waiter)
+            self._cancel_wait(service, waiter)
             raise
         finally:
             timer.cancel()
 
-    def _withdraw(self, service, waiter):
-        """Undo a wait whose caller has gone, also if a place was just given to it."""
+    def _cancel_wait(self, service, waiter):
+        """Cancel a wait whose caller has gone, releasing capacity already assigned."""
         if waiter in service.waiting:
             service.waiting.remove(waiter)
             return
         future = waiter.future
         if future.done() and not future.cancelled() and future.exception() is None:
-            self._return_place(service, future.result())
+            self._release_capacity(service, future.result())
 
-    def _refuse_without_backend(self, service):
-        """Refuse at once where no backend server could ever be given."""
+    def _ensure_backend_possible(self, service):
+        """Refuse a request at once if no backend server can become available."""
         if any(decisions.is_admissible(b) for b in service.backends.values()):
             return
         if any(b.verifying and not b.recalled for b in service.backends.values()):
@@ -86,45 +92,47 @@
             retry_after=self.queue.retry_after,
         )
 
-    def _place(self, service, excluded):
+    def _choose_backend(self, service, excluded):
         now = self.clock.now()
-        fresh = list(decisions.admissible(service, self.limits, now, excluded))
-        if not fresh and excluded:
+        candidates = list(decisions.admissible(service, self.limits, now, excluded))
+        if not candidates and excluded:
             untried = (
                 b
                 for b in service.backends.values()
                 if b.name not in excluded and decisions.is_admissible(b)
             )
             if next(untried, None) is None:
-                fresh = list(decisions.admissible(service, self.limits, now))
-        return self.placement.choose(fresh, now=now, random_state=self.random_state)
+                candidates = list(decisions.admissible(service, self.limits, now))
+        return self.placement.choose(
+            candidates, now=now, random_state=self.random_state
+        )
 
     def may_send(self, backend, deadline):
-        """Return whether a request that holds a place may still be sent.
+        """Return whether a request with reserved capacity may still be sent.
 
-        Guards against sending after a pause: the process slept, meanwhile operators
-        recalled the batch, the server turned cold or the deadline passed. Everything
-        that was true when the place was taken is looked at again.
+        The process may have been suspended after the reservation. Meanwhile operators
+        may have recalled the batch, the backend server may have turned cold, or the
+        deadline may have passed, so the conditions are checked again.
         """
         return decisions.is_admissible(backend) and deadline > self.clock.now()
 
     def record_attempt_start(self, backend, attempt_id):
-        """Note that an attempt is sent to ``backend``."""
+        """Record the time at which an attempt is sent to ``backend``."""
         backend.attempt_start_times[attempt_id] = self.clock.now()
 
     def release(self, service, backend, attempt_id=None):
-        """Give back a place; the queue's next request takes it."""
+        """Release reserved capacity; the next queued request may use it."""
         backend.attempt_start_times.pop(attempt_id, None)
         service.finished += 1
-        self._return_place(service, backend)
+        self._release_capacity(service, backend)
 
-    def _return_place(self, service, backend):
+    def _release_capacity(self, service, backend):
         backend.own_in_flight -= 1
         service.in_flight -= 1
         self.dispatch_waiting(service)
 
     def dispatch_waiting(self, service):
-        """Give free places to waiting requests, in order of arrival."""
+        """Assign free capacity to waiting requests, in order of arrival."""
         while service.waiting:
             assigned = self._assign_one(service)
             if not assigned:
@@ -132,7 +140,7 @@
 
     def _assign_one(self, service):
         for index, waiter in enumerate(service.waiting):
-            if index >= QUEUE_SCAN:
+            if index >= QUEUE_SCAN_LIMIT:
                 return False
             if waiter.future.done():
                 service.waiting.remove(waiter)
@@ -153,7 +161,7 @@
                 victim.future.set_exception(self.queue.refusal(service))
 
     def _expire(self, service):
-        """End the waits whose deadline has passed, each with its final answer."""
+        """Fail the waiting requests whose deadline has passed."""
         for waiter in self.queue.expired(service, self.clock.now()):
             self.board.counters["requests.expired_in_queue"] += 1
             if not waiter.future.done():
@@ -166,7 +174,10 @@
                 )
 
     def tick(self, elapsed):
-        """Refresh rates and retry the queues; ``elapsed`` seconds since the last."""
+        """Update rates and process the queues.
+
+        :param elapsed: seconds since the last call.
+        """
         for service in self.board.services.values():
             rate = service.finished / elapsed
             weight = min(1.0, elapsed)
@@ -175,12 +186,12 @@
             if service.waiting:
                 self._expire(service)
                 self.dispatch_waiting(service)
-                self._refuse_stranded(service)
+                self._fail_unservable(service)
 
-    def _refuse_stranded(self, service):
-        """Answer waiting requests at once when their service lost all its servers."""
+    def _fail_unservable(self, service):
+        """Fail waiting requests at once if their service lost all backend servers."""
         try:
-            self._refuse_without_backend(service)
+            self._ensure_backend_possible(service)
         except errors.RequestError as error:
             while service.waiting:
                 waiter = service.waiting.popleft()
--- a/boragegw/controllers/_gossip.py
+++ b/boragegw/controllers/_gossip.py
@@ -1,24 +1,28 @@
-"""Exchanges requests in flight, temperatures and quarantines with other entries."""
+"""Gossip of in-flight counts, temperatures and quarantines between entries."""
 
 from boragegw import blackboard, peers, utils
 
-TEMPERATURES = 12
-COUNTS = 80
-IDLE_SHARE = 0.02
+#: Most temperatures in a load digest.
+MAX_TEMPERATURES = 12
+#: Most in-flight counts in a load digest.
+MAX_COUNTS = 80
+#: Probability that a round sends a digest of a service without requests in flight.
+IDLE_SEND_PROBABILITY = 0.02
 
 
 def backend_hash(name):
-    """Return the 32 bit hash that stands for a backend server in digests."""
+    """Return the 32 bit hash that identifies a backend server in digests."""
     return utils.stable_hash("backend", name) & 0xFFFFFFFF
 
 
 class GossipController:
-    """Sends and takes load digests, among the entries that serve the same service.
+    """Exchanges load digests between the entries that serve the same service.
 
     :param network: a :class:`~boragegw.peers.PeerNetwork`.
     :param services: the :class:`ServicesController`.
+    :param observer: the :class:`HealthObserver`.
 
-    ``temperatures_received`` is set once a peer has told temperatures.
+    ``temperatures_received`` is set once a peer has sent temperatures.
     """
 
     def __init__(self, board, clock, random_state, network, services, observer):
@@ -29,11 +33,11 @@
         self.services = services
         self.observer = observer
         self.temperatures_received = False
-        self._told = {}
+        self._sent_counts = {}
         self._indexes = {}
 
-    def _index(self, service):
-        """Return the backend servers by hash; those that collide are left out."""
+    def _names_by_hash(self, service):
+        """Return the names of the backend servers by hash, without collisions."""
         names = tuple(service.backends)
         cached = self._indexes.get(service.settings.name)
         if cached is not None and cached[0] == names:
@@ -51,51 +55,52 @@
         return index
 
     def send_digests(self):
-        """Tell the other entries of each service this entry's counts."""
+        """Send this entry's counts to the other entries of each service."""
         working = self.services.working_entries()
         own = self.board.identity.incarnation
         for name, service in self.board.services.items():
-            if self._is_idle(name, service):
+            if self._skips_round(name, service):
                 continue
             counts = self._counts(name, service)
             subset = self.services.subset(service, working)
             others = [member for member in subset if member.incarnation != own]
-            digest = peers.LoadDigest(name, counts, self._some_temperatures(service))
+            digest = peers.LoadDigest(name, counts, self._sample_temperatures(service))
             for member in others:
                 self.network.send(member.peer_address, digest)
-        self._tell_somebody(working, own)
+        self._send_to_random_entry(working, own)
 
-    def _is_idle(self, name, service):
-        """Return whether there is nothing to tell of a service.
+    def _skips_round(self, name, service):
+        """Return whether to skip the digest of a service in this round.
 
-        In a large fleet an entry serves few of the services. Of the others it tells
-        the temperatures now and then, which repairs what lost datagrams left out.
+        In a large fleet an entry has requests for few of the services. It sends the
+        temperatures of the others at a low random rate, which makes up for lost
+        datagrams.
         """
-        if service.in_flight or self._told.get(name):
+        if service.in_flight or self._sent_counts.get(name):
             return False
-        return self.random_state.random() > IDLE_SHARE
+        return self.random_state.random() > IDLE_SEND_PROBABILITY
 
     def _counts(self, name, service):
-        """Return the counts above zero, and the zeros that were told as more."""
-        told = self._told.setdefault(name, {})
+        """Return the counts above zero, and the zeros last sent as a higher count."""
+        sent = self._sent_counts.setdefault(name, {})
         current = {
             backend.name: backend.own_in_flight for backend in service.backends.values()
         }
-        changed = {n: c for n, c in current.items() if c or told.get(n)}
-        self._told[name] = changed
+        changed = {n: c for n, c in current.items() if c or sent.get(n)}
+        self._sent_counts[name] = changed
         rows = list(changed.items())
-        if len(rows) > COUNTS:
-            rows = self.random_state.sample(rows, COUNTS)
+        if len(rows) > MAX_COUNTS:
+            rows = self.random_state.sample(rows, MAX_COUNTS)
         return [peers.BackendCount(backend_hash(n), c) for n, c in rows]
 
-    def _some_temperatures(self, service):
-        rows = [b for b in service.backends.values() if self._is_telling(b)]
-        if len(rows) > TEMPERATURES:
-            rows = self.random_state.sample(rows, TEMPERATURES)
+    def _sample_temperatures(self, service):
+        rows = [b for b in service.backends.values() if self._has_known_temperature(b)]
+        if len(rows) > MAX_TEMPERATURES:
+            rows = self.random_state.sample(rows, MAX_TEMPERATURES)
         return [self._temperature(backend) for backend in rows]
 
     @staticmethod
-    def _is_telling(backend):
+    def _has_known_temperature(backend):
         return backend.cold_epoch > 0 or backend.phase is blackboard.Phase.WARM
 
     @staticmethod
@@ -106,41 +111,48 @@
             backend_hash(backend.name), backend.cold_epoch, warm, reported
         )
 
-    def _tell_somebody(self, working, own):
-        """Tell the temperatures of one service to any entry: spares need them too."""
+    def _send_to_random_entry(self, working, own):
+        """Send temperatures of one service to a random entry.
+
+        Spare entries outside the service's subset need them too.
+        """
         others = [member for member in working if member.incarnation != own]
         if not others or not self.board.services:
             return
         member = self.random_state.choice(others)
         name = self.random_state.choice(list(self.board.services))
         service = self.board.services[name]
-        rows = self._some_temperatures(service)
+        rows = self._sample_temperatures(service)
         if rows:
             digest = peers.LoadDigest(name, [], rows)
             self.network.send(member.peer_address, digest)
 
     def send_all_temperatures(self, member):
-        """Tell all temperatures to an entry that is new."""
+        """Send all temperatures to a new entry, in several digests."""
         for name, service in self.board.services.items():
             rows = [
                 self._temperature(backend)
                 for backend in service.backends.values()
-                if self._is_telling(backend)
+                if self._has_known_temperature(backend)
             ]
-            for start in range(0, len(rows), COUNTS // 2):
-                part = rows[start : start + COUNTS // 2]
+            for start in range(0, len(rows), MAX_COUNTS // 2):
+                part = rows[start : start + MAX_COUNTS // 2]
                 digest = peers.LoadDigest(name, [], part)
                 self.network.send(member.peer_address, digest)
 
     def broadcast_temperature(self, service, backend):
-        """Tell everybody in sight of a change at once."""
+        """Send a changed temperature to the live peers at once."""
         digest = peers.LoadDigest(
             service.settings.name, [], [self._temperature(backend)]
         )
         self._broadcast(digest)
 
     def broadcast_quarantine(self, fingerprint, remaining):
-        """Tell everybody in sight of a request that crashes backend servers."""
+        """Send the quarantine of a request that crashes backend servers.
+
+        :param fingerprint: fingerprint of the request.
+        :param remaining: seconds until the quarantine ends.
+        """
         self._broadcast(peers.Quarantine(fingerprint, remaining))
 
     def _broadcast(self, message):
@@ -149,11 +161,15 @@
             self.network.send(member.peer_address, message)
 
     def handle_digest(self, sender, digest):
-        """Take a peer's counts and temperatures."""
+        """Apply a peer's counts and temperatures.
+
+        :param sender: incarnation of the peer.
+        :param digest: a :class:`~boragegw.peers.LoadDigest`.
+        """
         service = self.board.services.get(digest.service)
         if service is None:
             return
-        index = self._index(service)
+        index = self._names_by_hash(service)
         now = self.clock.now()
         self.temperatures_received = self.temperatures_received or bool(
             digest.temperatures
@@ -176,7 +192,7 @@
                 self.observer.apply_peer_draining(backend, row.draining)
 
     def drop_stale_counts(self, horizon):
-        """Drop the counts of peers that have not been heard for ``horizon``."""
+        """Drop counts of peers that are older than ``horizon`` seconds."""
         oldest = self.clock.now() - horizon
         for service in self.board.services.values():
             for backend in service.backends.values():
--- a/boragegw/controllers/_health_observer.py
+++ b/boragegw/controllers/_health_observer.py
@@ -1,4 +1,4 @@
-"""Learns from each attempt's outcome; verifies backend servers where in doubt."""
+"""Health checking of backend servers: by the outcome of attempts and by probes."""
 
 import logging
 
@@ -6,17 +6,27 @@
 
 logger = logging.getLogger(__name__)
 
-PROBE_TIMEOUT = 1.0
+PROBE_TIMEOUT_SECONDS = 1.0
+#: Probes of one verification before the backend server gets requests again.
 VERIFY_ATTEMPTS = 5
-VERIFY_PAUSE = 0.25
-DRAIN_RECHECK = 2.0
+#: Back-off in seconds after the first unanswered probe, doubled after each further
+#: one; also the interval at which an exhausted probe budget is checked again.
+VERIFY_BACKOFF_SECONDS = 0.25
+#: Age in seconds at which a report of draining is checked by a probe.
+DRAIN_RECHECK_SECONDS = 2.0
 
 
 class HealthObserver:
-    """Writes reports, temperatures, latencies and ejections.
+    """Writes load reports, temperatures, latencies and ejections.
 
     :param transport: a :class:`~boragegw.backends.BackendTransport`.
-    :param on_temperature_change: called with (service, backend) when the phase changes.
+    :param dispatcher: the :class:`Dispatcher`.
+    :param ramp: a :class:`~boragegw.decisions.RampPolicy`.
+    :param slowdown: a :class:`~boragegw.decisions.SlowdownPolicy`.
+    :param hedging: a :class:`~boragegw.decisions.HedgePolicy`.
+
+    ``on_temperature_change`` is called with (service, backend) when this entry observes
+    that a backend server turns warm or cold, or begins or ends draining.
     """
 
     def __init__(
@@ -34,7 +44,7 @@
         self.on_temperature_change = lambda service, backend: None
 
     def observe_response(self, service, backend, latency, report, status):
-        """Learn from an answer whose head came after ``latency`` seconds."""
+        """Record a response whose head arrived after ``latency`` seconds."""
         now, wall = self.clock.now(), self.clock.wall()
         self.record_report(service, backend, report)
         if status >= 500:
@@ -43,10 +53,10 @@
         self.slowdown.observe_success(backend, service, latency)
         self.hedging.observe(service, latency)
         if self.ramp.observe_success(backend, service, now, wall, latency):
-            self._changed(service, backend)
+            self._handle_temperature_change(service, backend)
 
     def record_report(self, service, backend, report):
-        """Take a load report that came with an answer, a refusal or a probe."""
+        """Record a load report that came with a response, a refusal or a probe."""
         if report is None:
             return
         before, backend.report = backend.report, report
@@ -54,10 +64,13 @@
         if report.draining != (before is not None and before.draining):
             self.on_temperature_change(service, backend)
         if self.ramp.observe_report(backend, service.settings, now, wall):
-            self._changed(service, backend)
+            self._handle_temperature_change(service, backend)
 
     def observe_failure(self, service, backend, error):
-        """Learn from an :class:`~boragegw.backends.AttemptError`."""
+        """Record a failed attempt.
+
+        :param error: an :class:`~boragegw.backends.AttemptError`.
+        """
         now, wall = self.clock.now(), self.clock.wall()
         self.record_report(service, backend, error.report)
         failure = error.failure
@@ -74,7 +87,7 @@
         if failure in (backends.Failure.UNREACHABLE, backends.Failure.BROKEN):
             self.verify(service, backend)
 
-    def _changed(self, service, backend):
+    def _handle_temperature_change(self, service, backend):
         self.board.counters[f"backends.turned_{backend.phase.value}"] += 1
         logger.info(
             "backend server turned %s",
@@ -85,12 +98,12 @@
         self.dispatcher.dispatch_waiting(service)
 
     def verify(self, service, backend):
-        """Ask a backend server for its incarnation over a new connection.
+        """Start a task that probes a backend server over a new connection.
 
-        Guards against full load on a backend server that has just restarted: its
-        connections break before any report can say that it is cold. Until the probe
-        has answered it gets nothing; the same incarnation clears it, another one or
-        silence makes it cold.
+        A restarted backend server breaks its connections before any load report can
+        say that it is cold, and would otherwise get full load. It gets no requests
+        during the verification. A report with the same incarnation keeps its
+        temperature; a new incarnation or an unanswered first probe turns it cold.
         """
         if backend.verifying or backend.removed:
             return
@@ -100,33 +113,33 @@
     async def _verify(self, service, backend):
         try:
             for attempt in range(VERIFY_ATTEMPTS):
-                await self._take_probe(service)
+                await self._acquire_probe(service)
                 if await self._probe(service, backend):
                     return
                 if attempt == 0:
                     self._presume_cold(service, backend)
-                await self.sleep(VERIFY_PAUSE * 2**attempt)
+                await self.sleep(VERIFY_BACKOFF_SECONDS * 2**attempt)
         finally:
             backend.verifying = False
             self.dispatcher.dispatch_waiting(service)
 
-    async def _take_probe(self, service):
-        """Wait for the probe budget; the backend server gets no work meanwhile."""
+    async def _acquire_probe(self, service):
+        """Wait for the probe budget; the backend server gets no requests meanwhile."""
         while not service.probe_budget.take(self.clock.now()):
             self.board.counters["probes.over_budget"] += 1
-            await self.sleep(VERIFY_PAUSE)
+            await self.sleep(VERIFY_BACKOFF_SECONDS)
 
     def _presume_cold(self, service, backend):
         now, wall = self.clock.now(), self.clock.wall()
         if self.ramp.observe_crash(backend, service.settings, now, wall):
-            self._changed(service, backend)
+            self._handle_temperature_change(service, backend)
 
     async def _probe(self, service, backend):
-        """Probe once; return whether the backend server answered."""
+        """Send one probe; return whether the backend server answered it."""
         started = self.clock.now()
         self.board.counters["probes.sent"] += 1
         try:
-            report = await self.transport.probe(backend.vm, PROBE_TIMEOUT)
+            report = await self.transport.probe(backend.vm, PROBE_TIMEOUT_SECONDS)
         except backends.AttemptError:
             self.board.counters["probes.failed"] += 1
             return False
@@ -136,11 +149,11 @@
         return True
 
     def recheck_draining(self):
-        """Ask backend servers that once said "no new work" whether that still holds.
+        """Probe the backend servers that reported draining, to see if they still are.
 
-        Guards against a server that is lost for good: a drain was called off, but
-        without new work no answer comes that could say so. Each such server costs a
-        probe every ``DRAIN_RECHECK`` seconds, within the budget.
+        A draining backend server gets no requests, so no response can report that
+        the drain was cancelled; without probes it would stay unused forever. Each
+        one costs a probe every ``DRAIN_RECHECK_SECONDS``, within the probe budget.
         """
         now = self.clock.now()
         for service in self.board.services.values():
@@ -148,18 +161,17 @@
                 report = backend.report
                 if report is None or not report.draining or backend.vm.leaving:
                     continue
-                if now - report.received_at < DRAIN_RECHECK:
+                if now - report.received_at < DRAIN_RECHECK_SECONDS:
                     continue
                 if not backend.recalled and not backend.verifying:
                     self.verify(service, backend)
 
     async def is_responsive(self, service, backend):
-        """Return whether a new connection to ``backend`` works.
+        """Return whether ``backend`` answers a probe over a new connection.
 
-        Guards against silent connections: something between the two ends has lost
-        track of a connection, so nothing on it is ever answered while new ones work.
-        The answer to a probe shows that the backend server is not to blame; all its
-        connections older than the probe are dropped.
+        A middlebox may have lost the state of a connection, so that nothing on it is
+        answered while new connections work. An answered probe shows that the backend
+        server itself works; all its connections older than the probe are discarded.
         """
         if not service.probe_budget.take(self.clock.now()):
             self.board.counters["probes.over_budget"] += 1
@@ -167,11 +179,11 @@
         return await self._probe(service, backend)
 
     def apply_peer_draining(self, backend, draining):
-        """Take a peer's word that a backend server wants no new work.
+        """Apply a peer's information that a backend server is draining.
 
-        It counts as a report of its own, so that it is asked again like one that
-        was told to this entry. The end of a drain is not taken on a peer's word
-        that may be old; the next check finds it.
+        It is stored as a load report, so that :meth:`recheck_draining` probes the
+        backend server. The end of a drain is left to that probe, since the peer's
+        information may be outdated.
         """
         if not draining or backend.draining:
             return
@@ -180,9 +192,10 @@
         )
 
     def apply_peer_temperature(self, service, backend, epoch, warm):
-        """Take a peer's word on a temperature: the later epoch holds.
+        """Apply a peer's temperature unless its epoch is older than the local one.
 
-        Within an epoch warm follows cold. A turn to cold restarts the ramp here too.
+        Within an epoch a backend server only goes from cold to warm. A later epoch
+        means that it turned cold, which restarts slow start in this entry too.
         """
         if epoch < backend.cold_epoch:
             return
--- a/boragegw/controllers/_membership.py
+++ b/boragegw/controllers/_membership.py
@@ -1,22 +1,29 @@
-"""Heartbeats: who is there, with which configuration."""
+"""Membership by gossiped heartbeats: which entries are alive, at which revision."""
 
 from boragegw import blackboard, peers
 
+#: Random peers that each round of heartbeats is sent to.
 FANOUT = 3
+#: Other members that a heartbeat describes in full.
 FULL_MEMBERS = 2
-BEATS = 20
-BROADCAST = 32
+#: Other members that a heartbeat reports on, in full or by their beat alone.
+MAX_MEMBERS = 20
+#: Most peers that a heartbeat is broadcast to.
+BROADCAST_FANOUT = 32
 
 
 class MembershipController:
-    """Writes the membership section; sends this process's heartbeats.
+    """Writes the membership section and sends this process's heartbeats.
 
-    The messages are of constant size and rate, whatever the size of the fleet.
+    Size and rate of the heartbeats are bounded independently of the fleet's size.
 
+    :param network: a :class:`~boragegw.peers.PeerNetwork`.
     :param policy: a :class:`~boragegw.decisions.MembershipPolicy`.
-    :param seeds: peer addresses asked besides those that the platform lists.
-    :param on_heartbeat: called with each sender's member.
-    :param on_new_member: called with each member not heard of before.
+    :param seeds: peer addresses contacted besides those that the platform lists.
+
+    ``sealed_tables`` holds the sealed key tables of stopped processes by incarnation.
+    ``on_heartbeat`` is called with the sender's member for each heartbeat, and
+    ``on_new_member`` with each member that was unknown before.
     """
 
     def __init__(self, board, clock, random_state, network, policy, seeds=()):
@@ -32,7 +39,7 @@
         self._beat = 0
 
     def own_member(self):
-        """Return this process as its peers see it."""
+        """Return the member record of this process, as sent to its peers."""
         board = self.board
         identity = board.identity
         configuration = board.configuration
@@ -50,11 +57,11 @@
             sealed=tuple(self.sealed_tables),
         )
 
-    def _heartbeat(self):
+    def _next_heartbeat(self):
         self._beat += 1
         now = self.clock.now()
         alive = list(self.board.membership.alive(now))
-        sample = self._sample(alive, BEATS)
+        sample = self._sample(alive, MAX_MEMBERS)
         full = [(member, now - member.heard_at) for member in sample[:FULL_MEMBERS]]
         beats = [
             peers.Beat(member.incarnation, member.beat, now - member.heard_at)
@@ -66,34 +73,38 @@
         return self.random_state.sample(rows, min(count, len(rows)))
 
     def send_heartbeats(self):
-        """Send one round to a few random peers, one of them perhaps out of sight.
+        """Send one round of heartbeats to a few random peers.
 
-        Guards against a partition that heals unseen: each side has dropped the other
-        from its view, so somebody must still be written to who has not been heard.
+        One known address that is not alive in this process's view is included. After
+        a network partition each side has dropped the other from its view; without
+        that heartbeat the two sides would not find each other again.
         """
         now = self.clock.now()
         alive = [m.peer_address for m in self.board.membership.alive(now)]
         own = self.board.identity.peer_address
         listed = [vm.peer_address for vm in self.board.fleet.entries()]
         known = set(alive) | {own}
-        unseen = [a for a in (*listed, *self.seeds) if a and a not in known]
+        not_alive = [a for a in (*listed, *self.seeds) if a and a not in known]
         targets = self._sample(sorted(set(alive) - {own}), FANOUT)
-        targets += self._sample(sorted(set(unseen)), 1 if alive else FANOUT)
-        message = self._heartbeat()
+        targets += self._sample(sorted(set(not_alive)), 1 if alive else FANOUT)
+        message = self._next_heartbeat()
         for address in targets:
             self.network.send(address, message)
         self.policy.sweep(self.board.membership, now)
 
     def broadcast_heartbeat(self):
-        """Tell everybody in sight at once: a new revision, or that this one leaves."""
+        """Send a heartbeat to the live peers at once.
+
+        It spreads a new revision or a change of this process's state without delay.
+        """
         now = self.clock.now()
         alive = [m.peer_address for m in self.board.membership.alive(now)]
-        message = self._heartbeat()
-        for address in self._sample(alive, BROADCAST):
+        message = self._next_heartbeat()
+        for address in self._sample(alive, BROADCAST_FANOUT):
             self.network.send(address, message)
 
     def handle_heartbeat(self, heartbeat):
-        """Take in a heartbeat."""
+        """Merge a received heartbeat into the membership section."""
         now = self.clock.now()
         for member, age in heartbeat.members:
             self._merge(member, now, age)
@@ -115,13 +126,20 @@
             self.on_new_member(member)
 
     def sealed_table_holders(self, incarnation):
-        """Return the peers that hold the sealed key table of a stopped process."""
+        """Return the live peers that hold the sealed key table of a stopped process.
+
+        :param incarnation: incarnation of the stopped process.
+        """
         now = self.clock.now()
         alive = self.board.membership.alive(now)
         return [member for member in alive if incarnation in member.sealed]
 
     def sealed_table_recipients(self, count):
-        """Return peers that a sealed table is handed to, other data centres too."""
+        """Return up to ``count`` serving peers to hand a sealed key table to.
+
+        Peers of other data centres come first; the last one is of this data centre
+        if there is one.
+        """
         own = self.board.identity
         serving = sorted(
             self.board.membership.serving(self.clock.now()), key=lambda m: m.name
@@ -133,7 +151,7 @@
         return list(unique.values())
 
     def drop_expired_sealed_tables(self):
-        """Forget sealed tables whose time is over."""
+        """Drop the sealed key tables whose retention has ended."""
         wall = self.clock.wall()
         for incarnation, table in list(self.sealed_tables.items()):
             if table.keep_until <= wall:
--- a/boragegw/controllers/_services.py
+++ b/boragegw/controllers/_services.py
@@ -1,12 +1,16 @@
-"""Keeps the services' backend servers in step with configuration, VMs and peers."""
+"""Updates services and backend servers from the configuration, VMs and peers."""
 
 from boragegw import blackboard
 
 
 class ServicesController:
-    """Writes which backend servers exist, are recalled, and are warmed here.
+    """Writes which backend servers exist, are recalled, or are warmed by this entry.
+
+    A cold backend server gets its slow start from a single entry, its warmer.
 
     :param subsets: a :class:`~boragegw.decisions.SubsetPolicy`.
+    :param membership: a :class:`~boragegw.decisions.MembershipPolicy`.
+    :param ramp: a :class:`~boragegw.decisions.RampPolicy`.
     """
 
     def __init__(self, board, clock, dispatcher, subsets, membership, ramp):
@@ -17,11 +21,14 @@
         self.membership = membership
         self.ramp = ramp
         self._view = None
-        self._warmers_view = None
+        self._view_of_warmers = None
         self._subsets = {}
 
     def refresh(self):
-        """Bring everything up to date; cheap enough for each change and tick."""
+        """Update services, backend servers, recalls and warmers.
+
+        It is cheap enough to run on each change and each tick.
+        """
         configuration = self.board.configuration
         services = self.board.services
         for name, settings in configuration.services.items():
@@ -64,7 +71,7 @@
         service.backends[vm.name] = backend
 
     def refresh_recalls(self):
-        """Apply the recalls in force; a returned backend server is cold."""
+        """Apply the recalls in force; a backend server starts cold after a recall."""
         for service in self.board.services.values():
             for backend in service.backends.values():
                 recalled = self.board.configuration.is_recalled(backend.vm)
@@ -79,26 +86,29 @@
         return self.membership.live_entries(self.board, self.clock.now())
 
     def working_entries(self):
-        """Return the entries that may send work to backend servers."""
+        """Return the entries that may send requests to backend servers."""
         return self.membership.working_entries(self.board, self.clock.now())
 
     def subset(self, service, members=None):
-        """Return the entries that serve ``service`` (a ServiceState).
+        """Return the entries that serve ``service``.
+
+        Ranking all entries for each service is the most expensive control task in a
+        large fleet, so the result is cached until the view changes.
 
-        Ranking all entries for each service is the dearest part of the control work
-        of a large fleet, so the result is kept until the view changes.
+        :param service: a :class:`~boragegw.blackboard.ServiceState`.
+        :param members: the working entries, if the caller has them already.
         """
         settings = service.settings
         members = self.working_entries() if members is None else members
-        self._note_view(members)
-        kept = self._subsets.get(settings.name)
-        if kept is None:
-            kept = self.subsets.subset(settings.name, members, settings.subset_size)
-            self._subsets[settings.name] = kept
-        return kept
-
-    def _note_view(self, members):
-        """Drop the subsets of another view, and return the view."""
+        self._update_view(members)
+        cached = self._subsets.get(settings.name)
+        if cached is None:
+            cached = self.subsets.subset(settings.name, members, settings.subset_size)
+            self._subsets[settings.name] = cached
+        return cached
+
+    def _update_view(self, members):
+        """Return the current view; clear the cached subsets if it has changed."""
         view = (
             self.board.configuration.revision,
             self.board.fleet.version,
@@ -110,15 +120,15 @@
         return view
 
     def refresh_warmers(self, force=True):
-        """Decide for each backend server whether this entry warms it.
+        """Decide for each backend server whether this entry is its warmer.
 
-        :param force: also if the entries in sight are the same as last time.
+        :param force: whether to decide again even if the view has not changed.
         """
         working = self.working_entries()
-        view = self._note_view(working)
-        if view == self._warmers_view and not force:
+        view = self._update_view(working)
+        if view == self._view_of_warmers and not force:
             return
-        self._warmers_view = view
+        self._view_of_warmers = view
         listed = {vm.data_centre for vm in self.board.fleet.entries()}
         own = self.board.identity.name
         for service in self.board.services.values():
@@ -129,10 +139,10 @@
                 self._set_warmer(service, backend, is_warmer)
 
     def _set_warmer(self, service, backend, is_warmer):
-        """Note who warms; a new warmer starts again at the cold share.
+        """Record whether this entry is the warmer; a new warmer restarts slow start.
 
-        Guards against growth that another process earned: only the process whose
-        own answers came in time knows how far the ramp has got.
+        The limit that another process reached is not taken over: only the process
+        that received the timely responses knows how far slow start has got.
         """
         became = is_warmer and not backend.is_warmer
         backend.is_warmer = is_warmer
--- a/boragegw/controllers/tests/test_configuration.py
+++ b/boragegw/controllers/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration never goes back and reaches every entry, in virtual time."""
+"""Configuration revisions only increase and reach every entry, in virtual time."""
 
 import asyncio
 
@@ -46,9 +46,10 @@
 
 
 def test_recall_published_just_before_an_outage_still_spreads():
-    """Half of the entries go on sending work to a faulty data centre.
+    """Guards against entries that keep sending requests to a recalled data centre.
 
-    The platform went down after the first reader had read the recall.
+    The platform fails after the first reader has read the recall, so the other
+    entries can get it from peers only.
     """
 
     async def scenario(fleet):
@@ -75,9 +76,9 @@
 
 
 def test_stale_replica_does_not_undo_a_recall():
-    """A recalled data centre gets work again although nobody returned it.
+    """Guards against a recall that is undone by an older revision.
 
-    The platform answers from a replica that has fallen behind the recall.
+    The platform answers from a replica that does not have the recall yet.
     """
 
     async def scenario(fleet):
@@ -153,9 +154,10 @@
 
 
 def test_peers_send_each_other_only_what_is_new():
-    """Each of 4,000 changes a day would send megabytes to every entry.
+    """Guards against sending the whole configuration on each change.
 
-    A learner says what it has; a recall is one small document.
+    With 4,000 changes a day each entry would receive megabytes per change. The
+    fetching peer states what it has, and a recall is one small document.
     """
 
     async def scenario(fleet):
--- a/boragegw/controllers/tests/test_warmers.py
+++ b/boragegw/controllers/tests/test_warmers.py
@@ -1,4 +1,4 @@
-"""Who warms a cold backend server, in a fleet in virtual time."""
+"""Choice of the entry that warms a cold backend server, in virtual time."""
 
 import asyncio
 
@@ -44,10 +44,10 @@
 
 
 def test_another_entry_warms_when_the_warmer_dies():
-    """A whole data centre stays cold after one entry VM has died.
+    """Guards against a data centre that stays cold after one entry VM has died.
 
-    The warmer dies; the others drop it from their view, but nobody takes its place
-    because the decision was not made again.
+    The other entries drop the dead warmer from their view and must then choose a new
+    one.
     """
 
     async def scenario(fleet):
@@ -62,9 +62,10 @@
 
 
 def test_partition_of_data_centres_leaves_one_warmer():
-    """Both sides of a partition load a server that bears one request at a time.
+    """Guards against overload of a cold server that can run one request at a time.
 
-    Each side sees other entries and would choose a warmer of its own.
+    Each side of a network partition sees other entries and could choose a warmer of
+    its own.
     """
 
     async def scenario(fleet):
@@ -78,10 +79,10 @@
 
 
 def test_leaving_entry_keeps_what_it_warms_until_it_takes_no_new_work():
-    """A download is refused in the seconds in which an entry VM is being replaced.
+    """Guards against refused downloads while an entry VM is being replaced.
 
-    It had left the list of entries and lost its cold backend servers at once, while
-    callers with an answer of a second ago still came to it.
+    A leaving entry is no longer listed, but callers that resolved the entries a
+    second ago still use it. It must not lose its cold backend servers at once.
     """
 
     async def scenario(fleet):
