--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -56,7 +56,7 @@
 def play(job):
     """Return the share in time of one (scenario, mechanism or None, seed)."""
     scenario, mechanism, seed = job
-    policies = balancing.SWITCHES[mechanism] if mechanism else {}
+    policies = balancing.DISABLING_PARAMETERS[mechanism] if mechanism else {}
     results = []
 
     @standins.in_memory
@@ -102,7 +102,7 @@
     parser.add_argument("--short", action="store_true", help="two seeds")
     options = parser.parse_args()
     seeds = range(1, 3 if options.short else SEEDS + 1)
-    mechanisms = [None, *balancing.SWITCHES]
+    mechanisms = [None, *balancing.DISABLING_PARAMETERS]
     jobs = [(s, m, seed) for s in SCENARIOS for m in mechanisms for seed in seeds]
     with concurrent.futures.ProcessPoolExecutor(WORKERS) as pool:
         shares = dict(zip(jobs, pool.map(play, jobs), strict=True))
@@ -119,7 +119,7 @@
         for scenario in SCENARIOS
     )
     yield ["all (share in time)", *(f"{share:.3f}" for share in whole)]
-    for mechanism in balancing.SWITCHES:
+    for mechanism in balancing.DISABLING_PARAMETERS:
         cells = (_loss(shares, s, mechanism, seeds) for s in SCENARIOS)
         yield [f"without {mechanism}", *cells]
 
--- a/boragegw/balancing/__init__.py
+++ b/boragegw/balancing/__init__.py
@@ -1,18 +1,18 @@
 """Decisions of the gateway: pure, without input or output, light to import."""
 
 from boragegw.balancing._asking import (
-    AskingPolicy,
-    Offer,
-    expected_wait,
-    permitted,
-    usable,
+    ProbingPolicy,
+    ScoredServer,
+    available_servers,
+    eligible_servers,
+    expected_latency,
 )
-from boragegw.balancing._budget import ProbeBudget, RepeatBudget, SlidingCount
-from boragegw.balancing._hedging import AgeHedgePolicy
-from boragegw.balancing._pace import PaceGauge
-from boragegw.balancing._policies import POLICIES, SWITCHES, PolicySettings
+from boragegw.balancing._budget import ProbeBudget, RetryBudget, SlidingWindowCounter
+from boragegw.balancing._hedging import LatencyHedgePolicy
+from boragegw.balancing._pace import SlownessEstimator
+from boragegw.balancing._policies import DISABLING_PARAMETERS, POLICIES, PolicySettings
 from boragegw.balancing._quarantine import QuarantinePolicy
-from boragegw.balancing._ranks import RankMix, WaitingLine
+from boragegw.balancing._ranks import PriorityDistribution, WaitingCounts
 from boragegw.balancing._routing import (
     CallerLimits,
     Configuration,
@@ -20,52 +20,52 @@
     RouteKind,
     RouteTable,
     ServiceSettings,
+    WeightedRoundRobin,
     WeightedService,
-    WeightedTurns,
-    bare_host,
+    normalize_host,
 )
 from boragegw.balancing._servers import (
-    SLOW,
-    FailureShare,
+    SLOWNESS_THRESHOLD,
+    FailureRate,
     Listing,
     LoadReport,
     Server,
 )
-from boragegw.balancing._shedding import Fullness, SheddingPolicy
+from boragegw.balancing._shedding import Saturation, SheddingPolicy
 from boragegw.balancing._warming import WarmupPolicy
 
 __all__ = [
+    "DISABLING_PARAMETERS",
     "POLICIES",
-    "SLOW",
-    "SWITCHES",
-    "AgeHedgePolicy",
-    "AskingPolicy",
+    "SLOWNESS_THRESHOLD",
     "CallerLimits",
     "Configuration",
-    "FailureShare",
-    "Fullness",
+    "FailureRate",
+    "LatencyHedgePolicy",
     "Listing",
     "LoadReport",
-    "Offer",
-    "PaceGauge",
     "PolicySettings",
+    "PriorityDistribution",
     "ProbeBudget",
+    "ProbingPolicy",
     "QuarantinePolicy",
-    "RankMix",
-    "RepeatBudget",
+    "RetryBudget",
     "Route",
     "RouteKind",
     "RouteTable",
+    "Saturation",
+    "ScoredServer",
     "Server",
     "ServiceSettings",
     "SheddingPolicy",
-    "SlidingCount",
-    "WaitingLine",
+    "SlidingWindowCounter",
+    "SlownessEstimator",
+    "WaitingCounts",
     "WarmupPolicy",
+    "WeightedRoundRobin",
     "WeightedService",
-    "WeightedTurns",
-    "bare_host",
-    "expected_wait",
-    "permitted",
-    "usable",
+    "available_servers",
+    "eligible_servers",
+    "expected_latency",
+    "normalize_host",
 ]
--- a/boragegw/balancing/_asking.py
+++ b/boragegw/balancing/_asking.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Offer:
+class ScoredServer:
     """A candidate's answer to the question, judged.
 
     :param cost: expected time of a request there, in multiples of the usual time.
@@ -34,7 +34,7 @@
     room: bool
 
 
-class AskingPolicy(utils.Parameterized):
+class ProbingPolicy(utils.Parameterized):
     """Asks candidates in small waves until one of them is quiet.
 
     :param data_centre: this process's data centre; its servers come first among
@@ -186,7 +186,7 @@
         return self.heavy_distance_cost if heavy else self.distance_cost
 
     def judge(self, server, now, heavy=False):
-        """Return the :class:`Offer` of a server whose report has just arrived.
+        """Return the :class:`ScoredServer` of a server whose report has just arrived.
 
         :param heavy: the answer is large.
         """
@@ -197,7 +197,7 @@
         if server.listing.data_centre != self.data_centre:
             cost += self._distance(heavy)
             quiet = quiet and not heavy
-        return Offer(server, cost, quiet, room)
+        return ScoredServer(server, cost, quiet, room)
 
     def _has_room(self, server, now):
         """Return whether a request would begin at once and at the usual pace.
@@ -239,7 +239,7 @@
         return min(offers, key=lambda offer: offer.cost, default=None)
 
 
-def permitted(servers, evacuated, excluded):
+def eligible_servers(servers, evacuated, excluded):
     """Return the servers that may get work at all, cold and ill ones included.
 
     :param evacuated: data centres that are taken out.
@@ -254,7 +254,7 @@
     ]
 
 
-def usable(servers, *, now, evacuated, excluded=()):
+def available_servers(servers, *, now, evacuated, excluded=()):
     """Return the servers that may get a request, those in good health first.
 
     A server whose health check fails or that cannot be reached is used only where no
@@ -264,13 +264,13 @@
     :param evacuated: data centres that are taken out.
     :param excluded: identities that the request has tried before.
     """
-    allowed = permitted(servers, evacuated, excluded)
+    allowed = eligible_servers(servers, evacuated, excluded)
     warm = [server for server in allowed if not server.is_cold(now)]
     reachable = [s for s in warm if s.unreachable_until <= now]
     healthy = [s for s in reachable if s.unwell_until <= now]
     return healthy or reachable or warm
 
 
-def expected_wait(offer, usual):
+def expected_latency(offer, usual):
     """Return the seconds that a request would take there."""
     return math.inf if offer is None else offer.cost * usual
--- a/boragegw/balancing/_budget.py
+++ b/boragegw/balancing/_budget.py
@@ -5,7 +5,7 @@
 from boragegw import utils
 
 
-class SlidingCount:
+class SlidingWindowCounter:
     """Events of the last ``window`` seconds, counted in steps of a twentieth."""
 
     STEPS = 20
@@ -83,7 +83,7 @@
         self._bucket.tokens = max(0.0, self._bucket.tokens - questions)
 
 
-class RepeatBudget(utils.Parameterized):
+class RetryBudget(utils.Parameterized):
     """Permits second sends of a service's requests.
 
     In any window the whole fleet may repeat ``ratio`` of its requests and ``slack``
@@ -111,8 +111,8 @@
         self.slack = slack
         self.window = window
         self.margin = margin
-        self._requests = SlidingCount(window)
-        self._repeats = SlidingCount(window)
+        self._requests = SlidingWindowCounter(window)
+        self._repeats = SlidingWindowCounter(window)
 
     def observe_request(self, now):
         """Count a request of the service."""
--- a/boragegw/balancing/_hedging.py
+++ b/boragegw/balancing/_hedging.py
@@ -5,7 +5,7 @@
 from boragegw import utils
 
 
-class AgeHedgePolicy(utils.Parameterized):
+class LatencyHedgePolicy(utils.Parameterized):
     """Hedges a request that has run longer than most requests of its service do.
 
     :param quantile: share of recent answers that were faster than the delay.
--- a/boragegw/balancing/_pace.py
+++ b/boragegw/balancing/_pace.py
@@ -5,7 +5,7 @@
 from boragegw import utils
 
 
-class PaceGauge(utils.Parameterized):
+class SlownessEstimator(utils.Parameterized):
     """Compares the time of first answers on new connections.
 
     A server that shares its machine answers a question on an open connection at once,
--- a/boragegw/balancing/_policies.py
+++ b/boragegw/balancing/_policies.py
@@ -5,15 +5,15 @@
 
 #: The policies whose parameters can be set, by the name they have in settings.
 POLICIES = {
-    "asking": _asking.AskingPolicy,
-    "hedging": _hedging.AgeHedgePolicy,
-    "pace": _pace.PaceGauge,
-    "ranks": _ranks.RankMix,
+    "asking": _asking.ProbingPolicy,
+    "hedging": _hedging.LatencyHedgePolicy,
+    "pace": _pace.SlownessEstimator,
+    "ranks": _ranks.PriorityDistribution,
     "shedding": _shedding.SheddingPolicy,
     "warmup": _warming.WarmupPolicy,
 }
 #: For each mechanism, the parameters that switch it off.
-SWITCHES = {
+DISABLING_PARAMETERS = {
     "asking further than the first server": {"asking": {"most": 1}},
     "failures of a server": {"asking": {"failure_cost": 0.0}},
     "full servers asked last": {"asking": {"full_cost": 0.0}},
@@ -34,7 +34,8 @@
 class PolicySettings:
     """Makes policies with parameters that differ from their defaults.
 
-    :param parameters: parameters by policy and name, as in :data:`SWITCHES`.
+    :param parameters: parameters by policy and name, as in
+        :data:`DISABLING_PARAMETERS`.
     """
 
     def __init__(self, parameters=None):
--- a/boragegw/balancing/_ranks.py
+++ b/boragegw/balancing/_ranks.py
@@ -8,7 +8,7 @@
 MIX_HALF_LIFE = 5.0
 
 
-class RankMix(utils.Parameterized):
+class PriorityDistribution(utils.Parameterized):
     """Learns which ranks a service's requests have.
 
     A rank is urgent only in relation to what is really asked for: a configuration may
@@ -47,7 +47,7 @@
         self._updated_at = now
 
 
-class WaitingLine:
+class WaitingCounts:
     """Requests of a process that wait for room at a service, by rank."""
 
     def __init__(self):
--- a/boragegw/balancing/_routing.py
+++ b/boragegw/balancing/_routing.py
@@ -98,7 +98,7 @@
         :param host: value of the Host header.
         :param path: path without a query.
         """
-        routes = self._by_host.get(bare_host(host))
+        routes = self._by_host.get(normalize_host(host))
         if routes is None:
             return None
         end = len(path)
@@ -112,7 +112,7 @@
         return None
 
 
-def bare_host(host):
+def normalize_host(host):
     """Return ``host`` in lower case without its port."""
     name, colon, port = host.rpartition(":")
     if colon and port.isdigit():
@@ -120,7 +120,7 @@
     return host.strip().lower()
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """Takes the parts of a split route in turn, in proportion to their weights.
 
     Smooth weighted round robin keeps each process within one request of the weights,
--- a/boragegw/balancing/_servers.py
+++ b/boragegw/balancing/_servers.py
@@ -11,7 +11,7 @@
 PRIOR_REQUESTS = 2.0
 #: Multiple of its usual time from which a server counts as slow. Servers that share
 #: their machines were seen at 1 or 5.
-SLOW = 2.5
+SLOWNESS_THRESHOLD = 2.5
 #: Seconds after which a slow report counts anew: a server's speed changes each 150 ms.
 SPELL = 0.15
 #: Seconds after which the slow spell of a server that reports no load counts as over.
@@ -61,7 +61,7 @@
     received_at: float
 
 
-class FailureShare:
+class FailureRate:
     """Share of recent requests that failed, forgotten with a half-life."""
 
     __slots__ = ("_failed", "_total", "_updated_at")
@@ -125,7 +125,7 @@
     slow_reports: int = 0
     slow_counted_at: float = -math.inf
     tried_first: bool = False
-    failures: FailureShare = dataclasses.field(default_factory=FailureShare)
+    failures: FailureRate = dataclasses.field(default_factory=FailureRate)
 
     def __post_init__(self):
         """Take the pace from a report that is given at once."""
@@ -175,7 +175,7 @@
         """Take how long work takes there now, as a multiple of the usual time."""
         self.last_slowness = slowness
         self.slowness_at = now
-        if slowness < SLOW:
+        if slowness < SLOWNESS_THRESHOLD:
             self.slow_reports = 0
         elif now - self.slow_counted_at >= SPELL:
             self.slow_reports += 1
--- a/boragegw/balancing/_shedding.py
+++ b/boragegw/balancing/_shedding.py
@@ -6,7 +6,7 @@
 FULLNESS_HALF_LIFE = 0.5
 
 
-class Fullness:
+class Saturation:
     """Share of recent searches for a place that found none."""
 
     def __init__(self):
--- a/boragegw/balancing/tests/test_decisions.py
+++ b/boragegw/balancing/tests/test_decisions.py
@@ -21,11 +21,11 @@
 @pytest.mark.parametrize(
     "policy",
     [
-        balancing.AskingPolicy(wave=0),
-        balancing.RepeatBudget(window=0),
+        balancing.ProbingPolicy(wave=0),
+        balancing.RetryBudget(window=0),
         balancing.WarmupPolicy(margin=2),
         balancing.SheddingPolicy(hold_share=-1),
-        balancing.AgeHedgePolicy(quantile=2),
+        balancing.LatencyHedgePolicy(quantile=2),
     ],
     ids=lambda policy: type(policy).__name__,
 )
@@ -50,16 +50,16 @@
     slots filled, a service bore 235 requests a second instead of 267.
     """
     candidate = server(slots=slots, report=load)
-    assert balancing.AskingPolicy().judge(candidate, 0.0).room is room
+    assert balancing.ProbingPolicy().judge(candidate, 0.0).room is room
 
 
 def test_own_requests_count_although_the_report_does_not_show_them_yet():
     candidate = server(slots=2, report=report(0, 0, 2), own_in_flight=2)
-    assert not balancing.AskingPolicy().judge(candidate, 0.0).room
+    assert not balancing.ProbingPolicy().judge(candidate, 0.0).room
 
 
 def test_near_equals_are_taken_from_the_own_data_centre():
-    policy = balancing.AskingPolicy("dc-a")
+    policy = balancing.ProbingPolicy("dc-a")
     near, far = server("n", "dc-a"), server("f", "dc-b")
     near.report = far.report = report()
     assert policy.judge(near, 0.0).cost < policy.judge(far, 0.0).cost
@@ -67,7 +67,7 @@
 
 def test_failing_server_costs_more_than_a_slow_one():
     """A server that fails at once has nothing in flight and would draw all work."""
-    policy = balancing.AskingPolicy()
+    policy = balancing.ProbingPolicy()
     failing, slow = server("f"), server("s", report=report(slowness=5.0))
     failing.report = report()
     for _ in range(4):
@@ -81,7 +81,7 @@
     that may ask two servers asked the same two full ones every time, found no room and
     was refused, while the others would have served one in two.
     """
-    policy = balancing.AskingPolicy()
+    policy = balancing.ProbingPolicy()
     full = [server(f"f{n}", report=report(4, at=0.99)) for n in range(4)]
     shedding = [server(f"s{n}", report=report(1, at=0.5)) for n in range(4)]
     for candidate in shedding:
@@ -98,7 +98,7 @@
 
 
 def test_full_service_is_asked_less():
-    policy = balancing.AskingPolicy(most=8, wave=2)
+    policy = balancing.ProbingPolicy(most=8, wave=2)
     servers = [server(str(n)) for n in range(12)]
 
     def asked(fullness, allowed=99):
@@ -136,8 +136,10 @@
     """
     servers = [server(str(n), unwell_until=10.0) for n in range(3)]
     well = server("well")
-    assert balancing.usable([*servers, well], now=0.0, evacuated=()) == [well]
-    assert balancing.usable(servers, now=0.0, evacuated=()) == servers
+    assert balancing.available_servers([*servers, well], now=0.0, evacuated=()) == [
+        well
+    ]
+    assert balancing.available_servers(servers, now=0.0, evacuated=()) == servers
 
 
 def test_leaving_evacuated_and_tried_servers_are_never_used():
@@ -145,7 +147,7 @@
     moved = server("m", moved=True)
     out = server("o", "dc-b")
     tried = server("t")
-    found = balancing.usable(
+    found = balancing.available_servers(
         [removed, moved, out, tried], now=0.0, evacuated={"dc-b"}, excluded={"t"}
     )
     assert found == []
@@ -155,7 +157,7 @@
     """Every process spends all it may. In any ten seconds, the repeats of all stay
     within a fifth of the requests and the slack.
     """
-    fleet = [balancing.RepeatBudget(0.2, 50.0, 10.0) for _ in range(17)]
+    fleet = [balancing.RetryBudget(0.2, 50.0, 10.0) for _ in range(17)]
     repeats, requests = [], []
     for step in range(3000):
         now = step * 0.02
@@ -171,7 +173,7 @@
 
 
 def test_hedges_leave_budget_to_repeats_after_failures():
-    budget = balancing.RepeatBudget(0.2, 0.0, 10.0)
+    budget = balancing.RetryBudget(0.2, 0.0, 10.0)
     for _ in range(100):
         budget.observe_request(0.0)
     hedges = 0
@@ -201,7 +203,7 @@
 
 
 def test_hedge_comes_after_most_answers_and_before_the_target():
-    policy = balancing.AgeHedgePolicy()
+    policy = balancing.LatencyHedgePolicy()
     for number in range(200):
         policy.observe(0.1 + 0.001 * (number % 100))
     assert 0.15 <= policy.delay(1.0) <= 0.25
@@ -209,7 +211,7 @@
 
 
 def test_fullness_is_forgotten():
-    fullness = balancing.Fullness()
+    fullness = balancing.Saturation()
     for _ in range(50):
         fullness.observe(True, 0.0)
     assert fullness.share(0.0) > 0.9
@@ -221,7 +223,7 @@
     holds its slot for five times as long. A server that stays slow is used all the
     same, since what it bears would be lost otherwise.
     """
-    policy = balancing.AskingPolicy()
+    policy = balancing.ProbingPolicy()
     candidate = server()
     candidate.observe_report(report(slowness=5.0, at=1.0))
     assert not policy.judge(candidate, 1.0).room
@@ -245,7 +247,7 @@
     """A hedge takes from the budget and then finds no quiet server. Counted as sent, it
     would leave nothing for requests that really fail.
     """
-    budget = balancing.RepeatBudget(0.0, 10.0)
+    budget = balancing.RetryBudget(0.0, 10.0)
     for _ in range(100):
         assert budget.take(1.0, 1)
         budget.give_back()
@@ -258,7 +260,7 @@
     """A configuration holds less urgent routes that nobody uses. Next to those every
     request would count as urgent, and all would wait longer in vain.
     """
-    mix = balancing.RankMix()
+    mix = balancing.PriorityDistribution()
     for number in range(100):
         mix.observe(1, number / 100)
     mix.observe(5, 1.0)
@@ -267,11 +269,11 @@
         mix.observe(2, 1.0 + number / 100)
     assert mix.is_urgent(1, 1.3)
     assert not mix.is_urgent(2, 1.3)
-    assert not balancing.RankMix().is_urgent(0, 1.0)
+    assert not balancing.PriorityDistribution().is_urgent(0, 1.0)
 
 
 def test_less_urgent_requests_wait_behind_more_urgent_ones():
-    line = balancing.WaitingLine()
+    line = balancing.WaitingCounts()
     line.enter(2)
     assert line.is_first(2)
     line.enter(1)
--- a/boragegw/balancing/tests/test_pace.py
+++ b/boragegw/balancing/tests/test_pace.py
@@ -13,7 +13,7 @@
 def gauge_of(slow_share, count=64, seed=1):
     """Return a gauge that has seen so many answers."""
     drawn = random.Random(seed)
-    gauge = balancing.PaceGauge()
+    gauge = balancing.SlownessEstimator()
     for _ in range(count):
         gauge.observe(SLOW if drawn.random() < slow_share else USUAL)
     return gauge
@@ -21,7 +21,7 @@
 
 def test_parameters_are_checked_at_use():
     with pytest.raises(utils.InvalidParameterError, match="expected"):
-        balancing.PaceGauge(samples=0).observe(USUAL)
+        balancing.SlownessEstimator(samples=0).observe(USUAL)
 
 
 @pytest.mark.parametrize("slow_share", [0.0, 0.25, 0.6])
@@ -30,12 +30,12 @@
     begin in slow spells again.
     """
     gauge = gauge_of(slow_share)
-    assert gauge.observe(SLOW) > balancing.SLOW
-    assert gauge.observe(USUAL) < balancing.SLOW
+    assert gauge.observe(SLOW) > balancing.SLOWNESS_THRESHOLD
+    assert gauge.observe(USUAL) < balancing.SLOWNESS_THRESHOLD
 
 
 def test_little_experience_condemns_nothing():
-    gauge = balancing.PaceGauge()
+    gauge = balancing.SlownessEstimator()
     assert [gauge.observe(SLOW) for _ in range(7)] == [1.0] * 7
 
 
@@ -43,7 +43,7 @@
     """Answers within less than the resolution of the measurement differ by large
     factors that mean nothing; a clock may even go back a little.
     """
-    gauge = balancing.PaceGauge()
+    gauge = balancing.SlownessEstimator()
     shown = [gauge.observe(seconds) for seconds in (1e-6, 2e-4, -1e-4) * 10]
     assert max(shown) == 1.0
 
--- a/boragegw/balancing/tests/test_policies.py
+++ b/boragegw/balancing/tests/test_policies.py
@@ -26,9 +26,9 @@
         _settings._policies(json.dumps(parameters))
 
 
-@pytest.mark.parametrize("mechanism", sorted(balancing.SWITCHES))
+@pytest.mark.parametrize("mechanism", sorted(balancing.DISABLING_PARAMETERS))
 def test_each_switch_changes_a_valid_parameter(mechanism):
-    settings = balancing.PolicySettings(balancing.SWITCHES[mechanism])
+    settings = balancing.PolicySettings(balancing.DISABLING_PARAMETERS[mechanism])
     settings.check()
     for name, values in settings.parameters.items():
         usual = balancing.PolicySettings().make(name).get_params()
--- a/boragegw/balancing/tests/test_routing.py
+++ b/boragegw/balancing/tests/test_routing.py
@@ -40,7 +40,7 @@
         balancing.WeightedService(name, weight)
         for name, weight in (("a", 90.0), ("b", 10.0), ("none", 0.0))
     )
-    turns = balancing.WeightedTurns(parts, random.Random(1))
+    turns = balancing.WeightedRoundRobin(parts, random.Random(1))
     services = [turns.next_service() for _ in range(200)]
     assert services.count("b") == pytest.approx(20, abs=1)
     assert "none" not in services
@@ -52,7 +52,7 @@
     """
     parts = (balancing.WeightedService("a", 1.0), balancing.WeightedService("b", 1.0))
     first = {
-        balancing.WeightedTurns(parts, random.Random(seed)).next_service()
+        balancing.WeightedRoundRobin(parts, random.Random(seed)).next_service()
         for seed in range(17)
     }
     assert first == {"a", "b"}
--- a/boragegw/gateway/_asker.py
+++ b/boragegw/gateway/_asker.py
@@ -29,7 +29,7 @@
     :param offer: the judged answer.
     """
 
-    offer: balancing.Offer
+    offer: balancing.ScoredServer
     connection: _upstream.Connection
 
     @property
@@ -79,7 +79,7 @@
 
     :param board: the :class:`Board`.
     :param dialect: a :class:`Dialect`.
-    :param policy: a :class:`~boragegw.balancing.AskingPolicy`.
+    :param policy: a :class:`~boragegw.balancing.ProbingPolicy`.
     :param now: function that returns monotonic seconds.
     """
 
@@ -103,7 +103,7 @@
         state = search.state
         servers = self.board.by_service.get(search.service.name, ())
         now = self.now()
-        candidates = balancing.usable(
+        candidates = balancing.available_servers(
             servers, now=now, evacuated=self.board.evacuated, excluded=search.tried
         )
         replies = _Replies()
@@ -156,7 +156,7 @@
         return None
 
     def _cold_candidates(self, servers, tried, now):
-        allowed = balancing.permitted(servers, self.board.evacuated, tried)
+        allowed = balancing.eligible_servers(servers, self.board.evacuated, tried)
         candidates = [server for server in allowed if server.is_cold(now)]
         self.random_state.shuffle(candidates)
         return candidates
--- a/boragegw/gateway/_call.py
+++ b/boragegw/gateway/_call.py
@@ -91,7 +91,7 @@
 class ServiceState:
     """What this process has learned of one service.
 
-    :param budget: a :class:`~boragegw.balancing.RepeatBudget`.
+    :param budget: a :class:`~boragegw.balancing.RetryBudget`.
     :param probes: a :class:`~boragegw.balancing.ProbeBudget`.
     :param policies: a :class:`~boragegw.balancing.PolicySettings`.
     """
@@ -100,10 +100,10 @@
         self.budget = budget
         self.probes = probes
         self.hedging = policies.make("hedging")
-        self.fullness = balancing.Fullness()
+        self.fullness = balancing.Saturation()
         self.pace = policies.make("pace")
         self.ranks = policies.make("ranks")
-        self.line = balancing.WaitingLine()
+        self.line = balancing.WaitingCounts()
 
 
 def fingerprint(request):
--- a/boragegw/gateway/_carrier.py
+++ b/boragegw/gateway/_carrier.py
@@ -45,7 +45,7 @@
     """Carries requests.
 
     :param make_budget: function that returns a fresh
-        :class:`~boragegw.balancing.RepeatBudget`.
+        :class:`~boragegw.balancing.RetryBudget`.
     :param make_probe_budget: the same for a :class:`~boragegw.balancing.ProbeBudget`.
     :param policies: a :class:`~boragegw.balancing.PolicySettings`.
     """
@@ -150,7 +150,7 @@
             return route.parts[0].service
         known, turns = self._turns.get(route.name, (None, None))
         if known != route.parts:
-            turns = balancing.WeightedTurns(route.parts, self.random_state)
+            turns = balancing.WeightedRoundRobin(route.parts, self.random_state)
             self._turns[route.name] = (route.parts, turns)
         return turns.next_service()
 
--- a/boragegw/gateway/_process.py
+++ b/boragegw/gateway/_process.py
@@ -42,7 +42,7 @@
     :param stop_time: seconds from SIGTERM until the process is killed.
     :param link: megabits a second of the machine's link.
     :param first_start: the whole system starts for the first time, without callers.
-    :param repeat_ratio: see :class:`~boragegw.balancing.RepeatBudget`.
+    :param repeat_ratio: see :class:`~boragegw.balancing.RetryBudget`.
     :param probe_rate: questions per backend server and second of the whole fleet.
     :param policies: parameters of policies that differ from their defaults, see
         :class:`~boragegw.balancing.PolicySettings`.
@@ -161,7 +161,7 @@
 
     def _make_budget(self):
         settings = self.settings
-        return balancing.RepeatBudget(
+        return balancing.RetryBudget(
             settings.repeat_ratio, settings.repeat_slack, settings.repeat_window
         )
 
--- a/boragegw/gateway/_sender.py
+++ b/boragegw/gateway/_sender.py
@@ -154,11 +154,11 @@
 
     def _is_too_slow(self, call, place):
         """Return whether a slow server would hardly answer in the time that is left."""
-        if place.server.slowness(self.now()) < balancing.SLOW:
+        if place.server.slowness(self.now()) < balancing.SLOWNESS_THRESHOLD:
             return False
         usual = call.state.hedging.usual
         left = call.give_up_at - self.now()
-        return balancing.expected_wait(place.offer, usual) > SLOW_SHARE * left
+        return balancing.expected_latency(place.offer, usual) > SLOW_SHARE * left
 
     def _still_fits(self, call, place):
         """Return whether the place is still one, right before the send.
@@ -185,7 +185,7 @@
         if hedge and not place.offer.quiet:
             return "no quiet server for a hedge"
         usual = call.state.hedging.usual
-        if LEAST_SHARE * balancing.expected_wait(place.offer, usual) > left:
+        if LEAST_SHARE * balancing.expected_latency(place.offer, usual) > left:
             return "servers are full"
         return ""
 
--- a/boragegw/platform/_documents.py
+++ b/boragegw/platform/_documents.py
@@ -75,7 +75,7 @@
         """
         return balancing.Route(
             name=wire.name,
-            host=balancing.bare_host(wire.host),
+            host=balancing.normalize_host(wire.host),
             prefix=wire.prefix,
             kind=self._kind(wire),
             timeout=wire.timeout_s,
--- a/examples/asking.py
+++ b/examples/asking.py
@@ -4,7 +4,7 @@
 
 from boragegw import balancing
 
-policy = balancing.AskingPolicy(data_centre="dc-a")
+policy = balancing.ProbingPolicy(data_centre="dc-a")
 reports = {
     "near-full": ("dc-a", balancing.LoadReport(4, 0, 6, 1.0, 0.0)),
     "near-slow": ("dc-a", balancing.LoadReport(1, 0, 6, 5.0, 0.0)),
