--- a/boragegw/balancing/_asking.py
+++ b/boragegw/balancing/_asking.py
@@ -24,14 +24,14 @@
     """A candidate's answer to the question, judged.
 
     :param cost: expected time of a request there, in multiples of the usual time.
-    :param quiet: good enough to ask no further.
-    :param room: it can take one more request without a queue.
+    :param is_acceptable: good enough to ask no further.
+    :param has_capacity: it can take one more request without a queue.
     """
 
     server: object
     cost: float
-    quiet: bool
-    room: bool
+    is_acceptable: bool
+    has_capacity: bool
 
 
 class ProbingPolicy(utils.Parameterized):
@@ -117,7 +117,7 @@
         self.fill_share = fill_share
         self.lasting_after = lasting_after
 
-    def introduces(self, processes, random_state):
+    def prefers_new_server(self, processes, random_state):
         """Return whether this process tries a server first that has just joined.
 
         :param processes: processes that may be alive, this one included.
@@ -130,7 +130,7 @@
         candidates,
         *,
         allowed,
-        fullness,
+        saturation,
         now,
         random_state,
         heavy=False,
@@ -139,7 +139,7 @@
         """Yield lists of servers to ask, the most promising first.
 
         :param allowed: most servers that may be asked.
-        :param fullness: share of recent searches that found no room. Each question
+        :param saturation: share of recent searches that found no room. Each question
             takes a few milliseconds of a server, so a full service is asked less.
         :param heavy: the answer is large.
         :param connected: identities of servers to which a connection is idle.
@@ -160,7 +160,7 @@
             if server.report is not None or self._has_room(server, now)
         )
         order = sorted(worth_asking, key=rank)
-        wanted = max(self.wave, round(self.most * (1.0 - 1.5 * fullness)))
+        wanted = max(self.wave, round(self.most * (1.0 - 1.5 * saturation)))
         most = order[: min(wanted, allowed)]
         for start in range(0, len(most), self.wave):
             yield most[start : start + self.wave]
@@ -169,11 +169,11 @@
         """Return a guess of the cost from what is known without asking."""
         load = server.own_in_flight / server.slots
         guess = load + 0.3 * random_state.random()
-        if server.tried_first:
+        if server.preferred_as_new:
             guess -= INTRODUCTION
         if server.listing.data_centre != self.data_centre:
             guess += 0.2 + self._distance(heavy)
-        guess += self.failure_cost * server.failures.share(now)
+        guess += self.failure_cost * server.failures.rate(now)
         age = now - server.slowness_at
         if age >= self.memory:
             return guess
@@ -185,13 +185,13 @@
     def _distance(self, heavy):
         return self.heavy_distance_cost if heavy else self.distance_cost
 
-    def judge(self, server, now, heavy=False):
+    def score(self, server, now, heavy=False):
         """Return the :class:`ScoredServer` of a server whose report has just arrived.
 
         :param heavy: the answer is large.
         """
         cost = self._load_cost(server, now)
-        cost += self.failure_cost * server.failures.share(now)
+        cost += self.failure_cost * server.failures.rate(now)
         room = self._has_room(server, now)
         quiet = room and cost <= self.quiet_cost
         if server.listing.data_centre != self.data_centre:
@@ -207,7 +207,7 @@
         the slots as four others. Such a spell is over before another server's slot
         would have been free again, so nothing is lost by passing it over.
         """
-        if server.in_slow_spell(now, self.lasting_after):
+        if server.in_transient_slowdown(now, self.lasting_after):
             return False
         slots, ahead = self._occupancy(server)
         return ahead < (slots if slots < KNEE_SLOTS else int(self.fill_share * slots))
@@ -267,7 +267,7 @@
     allowed = eligible_servers(servers, evacuated, excluded)
     warm = [server for server in allowed if not server.is_cold(now)]
     reachable = [s for s in warm if s.unreachable_until <= now]
-    healthy = [s for s in reachable if s.unwell_until <= now]
+    healthy = [s for s in reachable if s.unhealthy_until <= now]
     return healthy or reachable or warm
 
 
--- a/boragegw/balancing/_budget.py
+++ b/boragegw/balancing/_budget.py
@@ -62,7 +62,7 @@
         self.burst = burst
         self._bucket = utils.TokenBucket(0.0)
 
-    def left(self, now, servers, processes):
+    def remaining(self, now, servers, processes):
         """Return how many questions may be asked now; at least one.
 
         A request whose place was not asked could meet a connection that has silently
@@ -118,7 +118,7 @@
         """Count a request of the service."""
         self._requests.add(now)
 
-    def left(self, now, processes):
+    def remaining(self, now, processes):
         """Return how many repeats are left to this process.
 
         :param processes: processes that may be alive, this one included.
@@ -133,13 +133,13 @@
         :param reserve: share of the budget that must be left untouched, so that
             hedges do not spend what repeats after failures need.
         """
-        left = self.left(now, processes)
+        left = self.remaining(now, processes)
         spent = self._repeats.total(now)
         if left < 1.0 or left - 1.0 < reserve * (left + spent):
             return False
         self._repeats.add(now)
         return True
 
-    def give_back(self):
+    def refund(self):
         """Take back a repeat that was not sent, for want of a place."""
         self._repeats.remove()
--- a/boragegw/balancing/_hedging.py
+++ b/boragegw/balancing/_hedging.py
@@ -38,7 +38,7 @@
         self._median = first_delay / 2
 
     @property
-    def usual(self):
+    def median_latency(self):
         """Median seconds of recent answers."""
         return self._median
 
--- a/boragegw/balancing/_ranks.py
+++ b/boragegw/balancing/_ranks.py
@@ -61,6 +61,6 @@
         """Count one less."""
         self._waiting[priority] -= 1
 
-    def is_first(self, priority):
+    def is_most_urgent(self, priority):
         """Return whether nobody more urgent waits."""
         return not any(n > 0 for rank, n in self._waiting.items() if rank < priority)
--- a/boragegw/balancing/_routing.py
+++ b/boragegw/balancing/_routing.py
@@ -35,8 +35,8 @@
     :param target_latency: seconds within which an answer is worth most.
     :param priority: rank among the requests of a service; 0 is the most urgent.
     :param max_attempts: most backend servers on which one request may run.
-    :param parts: the services that share the requests, by weight; none if they are
-        not known, and requests are then refused.
+    :param weighted_services: the services that share the requests, by weight. Empty if
+        they are not known; requests are then refused.
     """
 
     name: str
@@ -47,7 +47,7 @@
     target_latency: float
     priority: int
     max_attempts: int
-    parts: tuple
+    weighted_services: tuple
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/boragegw/balancing/_servers.py
+++ b/boragegw/balancing/_servers.py
@@ -78,7 +78,7 @@
         if failed:
             self._failed += 1.0
 
-    def share(self, now):
+    def rate(self, now):
         """Return the share of failures, between 0 and 1."""
         if self._failed < 0.05:
             return 0.0
@@ -104,12 +104,13 @@
         the usual time.
     :param slowness_at: when that was; monotonic seconds.
     :param cold_until: monotonic seconds until which it is cold.
-    :param unwell_until: its health check fails; monotonic seconds.
+    :param unhealthy_until: its health check fails; monotonic seconds.
     :param moved: its address answered as another server.
     :param removed: it is no longer listed.
     :param slow_reports: reports in a row, :data:`SPELL` apart, that it is slow.
     :param slow_counted_at: when the last of them was counted; monotonic seconds.
-    :param tried_first: it has joined, and this process is to try it before the others.
+    :param preferred_as_new: it has just joined, and this process probes it before the
+        others.
     """
 
     listing: Listing
@@ -118,13 +119,13 @@
     last_slowness: float = 1.0
     slowness_at: float = -math.inf
     cold_until: float = -math.inf
-    unwell_until: float = -math.inf
+    unhealthy_until: float = -math.inf
     unreachable_until: float = -math.inf
     moved: bool = False
     removed: bool = False
     slow_reports: int = 0
     slow_counted_at: float = -math.inf
-    tried_first: bool = False
+    preferred_as_new: bool = False
     failures: FailureRate = dataclasses.field(default_factory=FailureRate)
 
     def __post_init__(self):
@@ -147,7 +148,7 @@
         """Whether it must get no new work, whatever its load."""
         return self.removed or self.moved or self.listing.draining
 
-    def in_slow_spell(self, now, lasting_after):
+    def in_transient_slowdown(self, now, lasting_after):
         """Whether it is slow and will probably not stay so.
 
         :param lasting_after: slow reports in a row that show more than a spell.
--- a/boragegw/balancing/tests/test_decisions.py
+++ b/boragegw/balancing/tests/test_decisions.py
@@ -50,19 +50,19 @@
     slots filled, a service bore 235 requests a second instead of 267.
     """
     candidate = server(slots=slots, report=load)
-    assert balancing.ProbingPolicy().judge(candidate, 0.0).room is room
+    assert balancing.ProbingPolicy().score(candidate, 0.0).has_capacity is room
 
 
 def test_own_requests_count_although_the_report_does_not_show_them_yet():
     candidate = server(slots=2, report=report(0, 0, 2), own_in_flight=2)
-    assert not balancing.ProbingPolicy().judge(candidate, 0.0).room
+    assert not balancing.ProbingPolicy().score(candidate, 0.0).has_capacity
 
 
 def test_near_equals_are_taken_from_the_own_data_centre():
     policy = balancing.ProbingPolicy("dc-a")
     near, far = server("n", "dc-a"), server("f", "dc-b")
     near.report = far.report = report()
-    assert policy.judge(near, 0.0).cost < policy.judge(far, 0.0).cost
+    assert policy.score(near, 0.0).cost < policy.score(far, 0.0).cost
 
 
 def test_failing_server_costs_more_than_a_slow_one():
@@ -72,8 +72,8 @@
     failing.report = report()
     for _ in range(4):
         failing.failures.observe(True, 0.0)
-    assert policy.judge(failing, 0.0).cost > policy.judge(slow, 0.0).cost
-    assert policy.judge(failing, 20.0).cost < policy.judge(slow, 20.0).cost
+    assert policy.score(failing, 0.0).cost > policy.score(slow, 0.0).cost
+    assert policy.score(failing, 20.0).cost < policy.score(slow, 20.0).cost
 
 
 def test_servers_that_were_just_full_are_asked_after_those_that_turn_work_away():
@@ -90,7 +90,7 @@
     asked = policy.waves(
         [*full, *shedding],
         allowed=2,
-        fullness=0.9,
+        saturation=0.9,
         now=1.0,
         random_state=random.Random(1),
     )
@@ -105,7 +105,7 @@
         waves = policy.waves(
             servers,
             allowed=allowed,
-            fullness=fullness,
+            saturation=fullness,
             now=0.0,
             random_state=random.Random(1),
         )
@@ -124,7 +124,7 @@
     asked = 0
     for step in range(10_000):
         budget = fleet[step % 17]
-        questions = min(8, budget.left(step * 0.002, 20, 17))
+        questions = min(8, budget.remaining(step * 0.002, 20, 17))
         budget.take(questions)
         asked += questions
     assert asked / 20.0 / 20 <= 60
@@ -134,7 +134,7 @@
     """All health checks of a service fail at once, though its servers answer: a
     common cause lies. Refusing everything would turn the error into an outage.
     """
-    servers = [server(str(n), unwell_until=10.0) for n in range(3)]
+    servers = [server(str(n), unhealthy_until=10.0) for n in range(3)]
     well = server("well")
     assert balancing.available_servers([*servers, well], now=0.0, evacuated=()) == [
         well
@@ -226,13 +226,13 @@
     policy = balancing.ProbingPolicy()
     candidate = server()
     candidate.observe_report(report(slowness=5.0, at=1.0))
-    assert not policy.judge(candidate, 1.0).room
+    assert not policy.score(candidate, 1.0).has_capacity
     candidate.observe_report(report(slowness=1.0, at=1.1))
-    assert policy.judge(candidate, 1.1).room
+    assert policy.score(candidate, 1.1).has_capacity
     for step in range(4):
-        assert not candidate.in_slow_spell(2.0 + 0.2 * step, 4) or step
+        assert not candidate.in_transient_slowdown(2.0 + 0.2 * step, 4) or step
         candidate.observe_report(report(slowness=5.0, at=2.0 + 0.2 * step))
-    assert policy.judge(candidate, 3.0).room
+    assert policy.score(candidate, 3.0).has_capacity
 
 
 def test_slow_reports_of_one_spell_count_once():
@@ -240,7 +240,7 @@
     candidate = server()
     for step in range(8):
         candidate.observe_report(report(slowness=5.0, at=1.0 + 0.01 * step))
-    assert candidate.in_slow_spell(1.1, 4)
+    assert candidate.in_transient_slowdown(1.1, 4)
 
 
 def test_repeat_that_found_no_place_is_given_back():
@@ -250,10 +250,10 @@
     budget = balancing.RetryBudget(0.0, 10.0)
     for _ in range(100):
         assert budget.take(1.0, 1)
-        budget.give_back()
-    assert budget.left(1.0, 1) == pytest.approx(8.0)
-    budget.give_back()
-    assert budget.left(1.0, 1) == pytest.approx(8.0)
+        budget.refund()
+    assert budget.remaining(1.0, 1) == pytest.approx(8.0)
+    budget.refund()
+    assert budget.remaining(1.0, 1) == pytest.approx(8.0)
 
 
 def test_rank_is_urgent_only_beside_work_that_is_asked_for():
@@ -275,9 +275,9 @@
 def test_less_urgent_requests_wait_behind_more_urgent_ones():
     line = balancing.WaitingCounts()
     line.enter(2)
-    assert line.is_first(2)
+    assert line.is_most_urgent(2)
     line.enter(1)
-    assert not line.is_first(2)
-    assert line.is_first(1)
+    assert not line.is_most_urgent(2)
+    assert line.is_most_urgent(1)
     line.leave(1)
-    assert line.is_first(2)
+    assert line.is_most_urgent(2)
--- a/boragegw/balancing/tests/test_pace.py
+++ b/boragegw/balancing/tests/test_pace.py
@@ -66,7 +66,7 @@
     listing = balancing.Listing("s", "app", ("s", 1), "dc", "v", 4, False, 0.0)
     server = balancing.Server(listing)
     server.observe_slowness(5.0, 1.0)
-    assert server.in_slow_spell(1.1, 4)
+    assert server.in_transient_slowdown(1.1, 4)
     assert server.slowness(1.1) == 5.0
-    assert not server.in_slow_spell(2.0, 4)
+    assert not server.in_transient_slowdown(2.0, 4)
     assert server.slowness(2.0) == 1.0
--- a/boragegw/gateway/_asker.py
+++ b/boragegw/gateway/_asker.py
@@ -110,8 +110,8 @@
         questions = set()
         waves = self.policy.waves(
             candidates,
-            allowed=state.probes.left(now, len(servers), self.board.processes),
-            fullness=state.fullness.share(now),
+            allowed=state.probes.remaining(now, len(servers), self.board.processes),
+            saturation=state.fullness.share(now),
             heavy=search.heavy,
             now=now,
             random_state=self.random_state,
@@ -149,7 +149,11 @@
             if not self._may_warm(search.service, server):
                 continue
             place = await self._ask(search, server)
-            if place is not None and place.offer.room and server.unwell_until <= now:
+            if (
+                place is not None
+                and place.offer.has_capacity
+                and server.unhealthy_until <= now
+            ):
                 return place
             if place is not None:
                 self.pool(server).release(place.connection)
@@ -177,7 +181,7 @@
             questions -= done
             for question in done:
                 self._sort(question.result(), replies)
-            if any(place.offer.quiet for place in replies.well):
+            if any(place.offer.is_acceptable for place in replies.well):
                 return True
         return False
 
@@ -186,7 +190,7 @@
             return
         now = self.now()
         server = place.server
-        if server.unwell_until > now:
+        if server.unhealthy_until > now:
             replies.unwell.append(place)
         elif server.is_cold(now):
             replies.cold.append(place)
@@ -199,7 +203,7 @@
         A server whose health check fails is chosen only where all of them fail: it
         may be leaving, and then gets nothing any more.
         """
-        roomy = [place for place in replies.well if place.offer.room]
+        roomy = [place for place in replies.well if place.offer.has_capacity]
         if roomy:
             best = min(roomy, key=lambda place: place.offer.cost)
             replies.well.remove(best)
@@ -211,7 +215,7 @@
                 replies.cold.remove(place)
                 return place
         now = self.now()
-        if replies.unwell and all(s.unwell_until > now for s in candidates):
+        if replies.unwell and all(s.unhealthy_until > now for s in candidates):
             best = min(replies.unwell, key=lambda place: place.offer.cost)
             replies.unwell.remove(best)
             return best
@@ -249,7 +253,9 @@
     def welcome(self, server):
         """Decide whether this process tries a server first that has just joined."""
         processes = self.board.processes
-        server.tried_first = self.policy.introduces(processes, self.random_state)
+        server.preferred_as_new = self.policy.prefers_new_server(
+            processes, self.random_state
+        )
 
     def pool(self, server):
         """Return the connections to ``server``."""
@@ -331,8 +337,8 @@
         if health.cold_for is not None:
             server.cold_until = now + health.cold_for
         if not health.healthy:
-            server.unwell_until = now + UNWELL_PAUSE
-        offer = self.policy.judge(server, now, heavy=search.heavy)
+            server.unhealthy_until = now + UNWELL_PAUSE
+        offer = self.policy.score(server, now, heavy=search.heavy)
         return Place(offer, connection)
 
     async def has_crashed(self, server):
--- a/boragegw/gateway/_carrier.py
+++ b/boragegw/gateway/_carrier.py
@@ -144,14 +144,16 @@
 
     def _next_service(self, route):
         """Return the name of the service whose turn it is, or ``None``."""
-        if not route.parts:
+        if not route.weighted_services:
             return None
-        if len(route.parts) == 1:
-            return route.parts[0].service
+        if len(route.weighted_services) == 1:
+            return route.weighted_services[0].service
         known, turns = self._turns.get(route.name, (None, None))
-        if known != route.parts:
-            turns = balancing.WeightedRoundRobin(route.parts, self.random_state)
-            self._turns[route.name] = (route.parts, turns)
+        if known != route.weighted_services:
+            turns = balancing.WeightedRoundRobin(
+                route.weighted_services, self.random_state
+            )
+            self._turns[route.name] = (route.weighted_services, turns)
         return turns.next_service()
 
     def state(self, service_name):
@@ -198,7 +200,7 @@
                     sends.discard(send)
                     winner = self._judge(call, send.result(), winner)
                     if send in extra and not send.result().sent:
-                        state.budget.give_back()
+                        state.budget.refund()
                         hedge_at = self.now() + HEDGE_PAUSE
                 if winner is None and not sends and self._may_repeat(call, state):
                     self._note_extra("retried", call, self.now())
@@ -256,7 +258,7 @@
             reason=call.reason,
             sent=call.records,
             after=round(now - call.request.arrived, 4),
-            budget=round(call.state.budget.left(now, self.board.processes), 1),
+            budget=round(call.state.budget.remaining(now, self.board.processes), 1),
         )
 
     def _may_hedge(self, call, state, now):
--- a/boragegw/gateway/_sender.py
+++ b/boragegw/gateway/_sender.py
@@ -88,7 +88,7 @@
             waited = now - call.request.arrived
             self.board.histograms["placing_seconds"].observe(waited)
         server.own_in_flight += 1
-        server.tried_first = False
+        server.preferred_as_new = False
         try:
             outcome = await self._exchange(call, place, now)
         except asyncio.CancelledError:
@@ -127,7 +127,9 @@
             elif hold_until - self.now() < self.shedding.pause:
                 return None
             await asyncio.sleep(self.shedding.pause)
-            if not was_silent and not call.state.line.is_first(call.route.priority):
+            if not was_silent and not call.state.line.is_most_urgent(
+                call.route.priority
+            ):
                 continue
             place, was_silent = await self._search(call)
             if place is not None:
@@ -156,7 +158,7 @@
         """Return whether a slow server would hardly answer in the time that is left."""
         if place.server.slowness(self.now()) < balancing.SLOWNESS_THRESHOLD:
             return False
-        usual = call.state.hedging.usual
+        usual = call.state.hedging.median_latency
         left = call.give_up_at - self.now()
         return balancing.expected_latency(place.offer, usual) > SLOW_SHARE * left
 
@@ -182,9 +184,9 @@
         left = call.give_up_at - now
         if left < LEAST_TIME:
             return "no time left"
-        if hedge and not place.offer.quiet:
+        if hedge and not place.offer.is_acceptable:
             return "no quiet server for a hedge"
-        usual = call.state.hedging.usual
+        usual = call.state.hedging.median_latency
         if LEAST_SHARE * balancing.expected_latency(place.offer, usual) > left:
             return "servers are full"
         return ""
--- a/examples/asking.py
+++ b/examples/asking.py
@@ -18,14 +18,16 @@
     )
     for name, (place, report) in reports.items()
 ]
-offers = [policy.judge(server, now=0.0) for server in servers]
+offers = [policy.score(server, now=0.0) for server in servers]
 for offer in offers:
-    state = "quiet" if offer.quiet else "room" if offer.room else "no room"
+    state = (
+        "quiet" if offer.is_acceptable else "room" if offer.has_capacity else "no room"
+    )
     print(f"{offer.server.identity}: cost {offer.cost:.2f}, {state}")
 waves = policy.waves(
-    servers, allowed=8, fullness=0.0, now=0.0, random_state=random.Random(1)
+    servers, allowed=8, saturation=0.0, now=0.0, random_state=random.Random(1)
 )
 for number, wave in enumerate(waves, 1):
     print(f"wave {number}:", ", ".join(server.identity for server in wave))
-best = policy.best([offer for offer in offers if offer.room])
+best = policy.best([offer for offer in offers if offer.has_capacity])
 print(f"taken: {best.server.identity}")
