--- a/boragegw/balancing/__init__.py
+++ b/boragegw/balancing/__init__.py
@@ -1,18 +1,17 @@
 """Decisions of the gateway: pure, without input or output, light to import."""
 
-from boragegw.balancing._asking import (
+from boragegw.balancing._budgets import ProbeBudget, RetryBudget, SlidingWindowCounter
+from boragegw.balancing._hedging import LatencyHedgePolicy
+from boragegw.balancing._policies import DISABLING_PARAMETERS, POLICIES, PolicySettings
+from boragegw.balancing._priorities import PriorityDistribution, WaitingCounts
+from boragegw.balancing._probing import (
     ProbingPolicy,
     ScoredServer,
     available_servers,
     eligible_servers,
     expected_latency,
 )
-from boragegw.balancing._budget import ProbeBudget, RetryBudget, SlidingWindowCounter
-from boragegw.balancing._hedging import LatencyHedgePolicy
-from boragegw.balancing._pace import SlownessEstimator
-from boragegw.balancing._policies import DISABLING_PARAMETERS, POLICIES, PolicySettings
 from boragegw.balancing._quarantine import QuarantinePolicy
-from boragegw.balancing._ranks import PriorityDistribution, WaitingCounts
 from boragegw.balancing._routing import (
     CallerLimits,
     Configuration,
@@ -32,7 +31,8 @@
     Server,
 )
 from boragegw.balancing._shedding import Saturation, SheddingPolicy
-from boragegw.balancing._warming import WarmupPolicy
+from boragegw.balancing._slowness import SlownessEstimator
+from boragegw.balancing._warmup import WarmupPolicy
 
 __all__ = [
     "DISABLING_PARAMETERS",
--- a/boragegw/balancing/_policies.py
+++ b/boragegw/balancing/_policies.py
@@ -1,16 +1,23 @@
 """Parameters of the policies that operators set, and that switch mechanisms off."""
 
 from boragegw import utils
-from boragegw.balancing import _asking, _hedging, _pace, _ranks, _shedding, _warming
+from boragegw.balancing import (
+    _hedging,
+    _priorities,
+    _probing,
+    _shedding,
+    _slowness,
+    _warmup,
+)
 
 #: The policies whose parameters can be set, by the name they have in settings.
 POLICIES = {
-    "asking": _asking.ProbingPolicy,
+    "asking": _probing.ProbingPolicy,
     "hedging": _hedging.LatencyHedgePolicy,
-    "pace": _pace.SlownessEstimator,
-    "ranks": _ranks.PriorityDistribution,
+    "pace": _slowness.SlownessEstimator,
+    "ranks": _priorities.PriorityDistribution,
     "shedding": _shedding.SheddingPolicy,
-    "warmup": _warming.WarmupPolicy,
+    "warmup": _warmup.WarmupPolicy,
 }
 #: For each mechanism, the parameters that switch it off.
 DISABLING_PARAMETERS = {
--- a/boragegw/decisions/__init__.py
+++ b/boragegw/decisions/__init__.py
@@ -13,6 +13,7 @@
 )
 from boragegw.decisions._leases import Lease, LeaseAuthority, split_key
 from boragegw.decisions._membership import MembershipPolicy
+from boragegw.decisions._outlier_detection import SlowdownPolicy
 from boragegw.decisions._placement import (
     ExactKnowledge,
     LeastOwnInFlight,
@@ -23,10 +24,9 @@
     RoundRobin,
 )
 from boragegw.decisions._queueing import QueuePolicy, Waiter
-from boragegw.decisions._ramp import RampPolicy
 from boragegw.decisions._readers import ReaderPolicy
 from boragegw.decisions._retries import RetryPolicy
-from boragegw.decisions._slowdown import SlowdownPolicy
+from boragegw.decisions._slow_start import RampPolicy
 from boragegw.decisions._subset import SubsetPolicy
 
 __all__ = [
--- a/boragegw/decisions/tests/test_admission.py
+++ b/boragegw/decisions/tests/test_admission.py
@@ -3,7 +3,7 @@
 import pytest
 
 from boragegw import blackboard, decisions
-from boragegw.decisions.tests.test_checks import make_backend
+from boragegw.decisions.tests.test_common import make_backend
 
 
 def make_service(backends, **settings):
--- a/boragegw/decisions/tests/test_ramp.py
+++ b/boragegw/decisions/tests/test_slow_start.py
@@ -3,11 +3,11 @@
 import pytest
 
 from boragegw import blackboard, decisions
-from boragegw.decisions.tests import test_admission, test_checks
+from boragegw.decisions.tests import test_admission, test_common
 
 
 def make(phase="cold", slots=6, **settings):
-    backend = test_checks.make_backend("b", slots=slots, phase=phase)
+    backend = test_common.make_backend("b", slots=slots, phase=phase)
     defaults = {"warm_up": 10.0, "cold_in_flight": 1, **settings}
     service = test_admission.make_service([backend], **defaults)
     service.latency = 0.01
