--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -21,7 +21,7 @@
 
 from benchmarks import _rollout_fleet
 from boragegw import gateway, standins
-from boragegw.gateway import _fanout
+from boragegw.gateway import _replication_tree
 
 WORKERS = 4
 SIZES = (100, 300, 1170)
@@ -92,7 +92,7 @@
     """Return a context in which the variant ``name`` is in force."""
     if name == "star":
         return unittest.mock.patch.object(
-            _fanout, "followers_of", lambda member: UNLIMITED
+            _replication_tree, "followers_of", lambda member: UNLIMITED
         )
     if name == "whole records":
         return unittest.mock.patch.object(
--- a/boragegw/gateway/__init__.py
+++ b/boragegw/gateway/__init__.py
@@ -12,7 +12,13 @@
 from boragegw.gateway._fetch import Fetched, Fetcher
 from boragegw.gateway._follower import Follower
 from boragegw.gateway._front import BodyMemory, FrontConnection, Request
-from boragegw.gateway._knowledge import (
+from boragegw.gateway._membership import Membership
+from boragegw.gateway._metrics import CONTENT_TYPE, COUNTERS, Histogram, exposition
+from boragegw.gateway._peer_messages import Life, Member
+from boragegw.gateway._process import Gateway, GatewaySettings
+from boragegw.gateway._replication import PeerSource, ReplicaServer
+from boragegw.gateway._sender import Sender
+from boragegw.gateway._sources import (
     Decoder,
     HistoryLostError,
     Progress,
@@ -22,12 +28,6 @@
     SourceError,
     Told,
 )
-from boragegw.gateway._membership import Membership
-from boragegw.gateway._metrics import CONTENT_TYPE, COUNTERS, Histogram, exposition
-from boragegw.gateway._peer_messages import Life, Member
-from boragegw.gateway._process import Gateway, GatewaySettings
-from boragegw.gateway._replication import PeerSource, ReplicaServer
-from boragegw.gateway._sender import Sender
 from boragegw.gateway._upstream import Answer, Connection, ExchangeError, Failure, Pool
 
 __all__ = [
--- a/boragegw/gateway/_catalogue.py
+++ b/boragegw/gateway/_catalogue.py
@@ -8,9 +8,9 @@
 from boragegw.gateway import (
     _compression,
     _history,
-    _knowledge,
-    _listings,
     _reports,
+    _server_registry,
+    _sources,
 )
 
 #: Processes of which it is remembered what they have told of their missed changes.
@@ -38,7 +38,7 @@
         self._retained = {}
         self._told = utils.Recent(TELLERS)
         self._history = _history.History(log)
-        self._listings = _listings.Listings(
+        self._listings = _server_registry.Listings(
             board,
             now=now,
             log=log,
@@ -85,7 +85,7 @@
     def snapshot(self):
         """Return a :class:`Reading` of all records."""
         records = list(self._records.values())
-        return _knowledge.Reading(records, self._position, self._history.consistent)
+        return _sources.Reading(records, self._position, self._history.consistent)
 
     def changes(self, after, misses=None):
         """Return a :class:`Reading` of the changes after ``after``.
@@ -96,7 +96,7 @@
         """
         self._history.check(after, misses)
         records = sorted(self._changed_after(after), key=lambda r: r.revision)
-        return _knowledge.Reading(records, self._position)
+        return _sources.Reading(records, self._position)
 
     def _changed_after(self, after):
         """Yield what has changed after ``after``, up to the position.
@@ -163,7 +163,7 @@
             if key not in self._records or self._records[key].revision < record.revision
         ]
         deleted = [
-            _knowledge.Record(key, None, reading.position)
+            _sources.Record(key, None, reading.position)
             for key in self._records
             if key not in fresh
         ]
--- a/boragegw/gateway/_fetch.py
+++ b/boragegw/gateway/_fetch.py
@@ -3,7 +3,7 @@
 import asyncio
 import dataclasses
 
-from boragegw.gateway import _knowledge, _upstream
+from boragegw.gateway import _sources, _upstream
 
 #: Bytes of one answer that are accepted.
 ANSWER_LIMIT = 16 << 20
@@ -44,7 +44,7 @@
         self.now = now
         self.counters = counters
         self.counter = counter
-        self.progress = _knowledge.Progress()
+        self.progress = _sources.Progress()
         self._pool = _upstream.Pool(address, now, CONNECT_TIMEOUT)
 
     async def get(self, path, patience):
@@ -59,14 +59,14 @@
         try:
             connection = await self._pool.acquire(CONNECTIONS)
         except _upstream.ExchangeError as error:
-            raise _knowledge.SourceError(str(error)) from error
+            raise _sources.SourceError(str(error)) from error
         try:
             async with asyncio.timeout(patience) as limit:
                 answer = await connection.start(request, lambda answer: True)
                 body = await self._whole_body(answer, limit)
         except (_upstream.ExchangeError, TimeoutError) as error:
             self._give_up(connection)
-            raise _knowledge.SourceError(
+            raise _sources.SourceError(
                 str(error) or "no answer in time", self.progress.received
             ) from error
         except asyncio.CancelledError:
--- a/boragegw/gateway/_follower.py
+++ b/boragegw/gateway/_follower.py
@@ -4,10 +4,10 @@
 import math
 
 from boragegw.gateway import (
-    _choice,
-    _knowledge,
-    _patience,
-    _question,
+    _hedged_read,
+    _source_selection,
+    _source_timeout,
+    _sources,
 )
 
 #: Seconds that a watch waits for a change: at first, and at most after it has doubled
@@ -71,7 +71,7 @@
         self.random_state = random_state
         self.log = log
         self.first_start = first_start
-        self._choice = _choice.Choice(
+        self._choice = _source_selection.Choice(
             catalogue, membership, now=now, random_state=random_state
         )
         self._question = None
@@ -79,7 +79,7 @@
         self._peer = None
         self._store_failures = 0
         self._lost_pause = 0.0
-        self._patience = _patience.Patience()
+        self._patience = _source_timeout.Patience()
         self._asked_at = math.inf
         self._is_rereading = False
         self._bytes_before = 0
@@ -97,13 +97,13 @@
             name = self._next_source()
             try:
                 await self._read(name)
-            except _knowledge.HistoryLostError as error:
+            except _sources.HistoryLostError as error:
                 self.log.event(
                     "history-lost", source=name or "store", detail=str(error)
                 )
                 self._must_reread = True
                 await self._pause_if_lost_again()
-            except _knowledge.SourceError as error:
+            except _sources.SourceError as error:
                 await self._failed(name, error)
 
     def _next_source(self):
@@ -143,7 +143,7 @@
         alive = {m.name: m.peer for m in self.membership.alive()}
         address = alive.get(name)
         if address is None:
-            raise _knowledge.SourceError(f"{name} is out of sight")
+            raise _sources.SourceError(f"{name} is out of sight")
         if self._peer is None or self._peer[0] != address:
             if self._peer is not None:
                 self._peer[1].close()
@@ -195,14 +195,14 @@
             return
         name, reading = answer
         if not self.catalogue.adopt_snapshot(reading) and name is not None:
-            raise _knowledge.SourceError("it knows less than this process")
+            raise _sources.SourceError("it knows less than this process")
         self._succeeded(name)
         self._must_reread = False
         self._wait = FIRST_WATCH_WAIT
         self._note_revision()
 
     async def _ask(self, name, source, ask):
-        self._question = _question.Question(ask)
+        self._question = _hedged_read.Question(ask)
         self._question.put_to(name, source)
         return await self._question.answer()
 
@@ -335,7 +335,7 @@
 
     def _progress(self):
         if self._question is None:
-            return _knowledge.Progress()
+            return _sources.Progress()
         return self._question.progress
 
     def _bytes(self):
--- a/boragegw/gateway/_question.py
+++ b/boragegw/gateway/_hedged_read.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from boragegw.gateway import _knowledge
+from boragegw.gateway import _sources
 
 
 class Question:
@@ -28,7 +28,7 @@
     def progress(self):
         """:class:`~boragegw.gateway.Progress` of the answer that has come furthest."""
         found = [s.progress for task, s in self._sources.items() if not task.done()]
-        return max(found, key=lambda p: p.received, default=_knowledge.Progress())
+        return max(found, key=lambda p: p.received, default=_sources.Progress())
 
     def put_to(self, name, source):
         """Ask ``source`` besides those that have been asked."""
--- a/boragegw/gateway/_history.py
+++ b/boragegw/gateway/_history.py
@@ -1,7 +1,7 @@
 """What a process can tell those that follow it, and when they must read all anew."""
 
 from boragegw import utils
-from boragegw.gateway import _knowledge
+from boragegw.gateway import _sources
 
 #: Deletions that are kept for other processes that follow this one. Of a record that
 #: was put several times the latest is enough.
@@ -44,7 +44,7 @@
         untold = after == self.start and misses not in (None, self.misses)
         doubtful = self._unexplained and after < self._unexplained_at
         if too_old or untold or doubtful:
-            raise _knowledge.HistoryLostError(f"changes after {after} are not kept")
+            raise _sources.HistoryLostError(f"changes after {after} are not kept")
 
     # Deletions.
 
@@ -90,7 +90,7 @@
     def _date_deletions(self, keys, position):
         """Let followers be told that ``keys`` were deleted by ``position``."""
         for key in keys:
-            self.add_deletion(_knowledge.Record(key, None, position))
+            self.add_deletion(_sources.Record(key, None, position))
 
     def judge_changes(self, reading, position):
         """Find out whether changes tell what a reading in pages lacked.
--- a/boragegw/gateway/_reconciliation.py
+++ b/boragegw/gateway/_reconciliation.py
@@ -10,7 +10,7 @@
 import zlib
 
 from boragegw import utils
-from boragegw.gateway import _knowledge
+from boragegw.gateway import _sources
 
 #: Seconds between looks at what others retain.
 INTERVAL = 0.1
@@ -81,7 +81,7 @@
         source = self.peer_source(member.peer)
         try:
             reading = await source.read_retained()
-        except _knowledge.SourceError as error:
+        except _sources.SourceError as error:
             self._avoided[member.name] = self.now() + AVOIDED
             self.log.event("reconciling-failed", peer=member.name, reason=str(error))
             return
--- a/boragegw/gateway/_replication.py
+++ b/boragegw/gateway/_replication.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from boragegw.gateway import _compression, _endpoint, _fetch, _knowledge
+from boragegw.gateway import _compression, _endpoint, _fetch, _sources
 
 RECORDS = "/v1/replica/records"
 CHANGES = "/v1/replica/changes"
@@ -97,7 +97,7 @@
         while True:
             try:
                 reply = self._prepare(after, misses)
-            except _knowledge.HistoryLostError:
+            except _sources.HistoryLostError:
                 return _endpoint.Reply(HISTORY_LOST)
             left = end - self.now()
             if self.catalogue.revision > after or left < LEAST_WAIT:
@@ -152,7 +152,7 @@
         )
 
 
-class PeerSource(_knowledge.Source):
+class PeerSource(_sources.Source):
     """Follows another process.
 
     :param address: ``(host, port)`` of its :class:`ReplicaServer`.
@@ -196,34 +196,34 @@
     async def _read(self, path, patience):
         answer = await self._fetcher.get(path, patience)
         if answer.status == HISTORY_LOST:
-            raise _knowledge.HistoryLostError(f"{path}: status {answer.status}")
+            raise _sources.HistoryLostError(f"{path}: status {answer.status}")
         if answer.status != 200:
-            raise _knowledge.SourceError(f"status {answer.status}")
+            raise _sources.SourceError(f"status {answer.status}")
         try:
             replica = self._decode(_whole(answer))
             records = [self._record(change) for change in replica.changes]
         except (msgspec.DecodeError, _compression.CompressionError) as error:
-            raise _knowledge.SourceError(f"unreadable answer: {error}") from error
-        told = _knowledge.Told(self.address, replica.incarnation, replica.misses)
-        return _knowledge.Reading(records, replica.position, replica.consistent, told)
+            raise _sources.SourceError(f"unreadable answer: {error}") from error
+        told = _sources.Told(self.address, replica.incarnation, replica.misses)
+        return _sources.Reading(records, replica.position, replica.consistent, told)
 
     def _record(self, change):
         if not change.base or change.value is None:
             return _record(change, change.value)
         base = self.catalogue.record(change.key)
         if base is None or base.revision != change.base:
-            raise _knowledge.HistoryLostError(
+            raise _sources.HistoryLostError(
                 f"{change.key} differs from revision {change.base}, which is not known"
             )
         try:
             value = _compression.apply_difference(change.value, base.value, VALUE_LIMIT)
         except _compression.CompressionError as error:
-            raise _knowledge.HistoryLostError(f"{change.key}: {error}") from error
+            raise _sources.HistoryLostError(f"{change.key}: {error}") from error
         return _record(change, value)
 
 
 def _record(change, value):
-    return _knowledge.Record(change.key, value, change.revision, change.retained)
+    return _sources.Record(change.key, value, change.revision, change.retained)
 
 
 def _whole_change(record):
--- a/boragegw/gateway/_reports.py
+++ b/boragegw/gateway/_reports.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from boragegw import balancing, utils
-from boragegw.gateway import _knowledge
+from boragegw.gateway import _sources
 
 #: Servers that are gone whose last report is kept.
 DEPARTED = 2000
@@ -16,7 +16,7 @@
     :param record: the :class:`~boragegw.gateway.Record` that holds it.
     """
 
-    record: _knowledge.Record
+    record: _sources.Record
     listing: balancing.Listing
 
     def is_newer_than(self, other):
--- a/boragegw/gateway/_listings.py
+++ b/boragegw/gateway/_server_registry.py
@@ -1,7 +1,7 @@
 """Backend servers as the platform lists them: joined, changed, doubted, gone."""
 
 from boragegw import balancing
-from boragegw.gateway import _knowledge, _reports
+from boragegw.gateway import _reports, _sources
 
 
 class Listings:
@@ -57,8 +57,8 @@
         if server is None or key in self._doubted:
             return
         now = self.now()
-        if now - self.trouble_at < _knowledge.TROUBLE_MEMORY:
-            self._doubted[key] = now + _knowledge.LAPSE_GRACE
+        if now - self.trouble_at < _sources.TROUBLE_MEMORY:
+            self._doubted[key] = now + _sources.LAPSE_GRACE
             self.log.event("server-doubted", server=server.identity)
             return
         self._drop(key)
--- a/boragegw/gateway/_choice.py
+++ b/boragegw/gateway/_source_selection.py
@@ -3,7 +3,7 @@
 import math
 
 from boragegw import utils
-from boragegw.gateway import _fanout, _peer_messages
+from boragegw.gateway import _peer_messages, _replication_tree
 
 #: Processes in a data centre that watch the store.
 WATCHERS = 1
@@ -16,8 +16,9 @@
 
     A few processes watch the store, the first of each data centre by link and then in
     rendezvous order; the others follow that one, or one that follows it, see
-    :mod:`~boragegw.gateway._fanout`. So calls to the store grow with the data centres
-    and not with the fleet. A process that finds nobody to follow reads the store.
+    :mod:`~boragegw.gateway._replication_tree`. So calls to the store grow with the data
+    centres and not with the fleet. A process that finds nobody to follow reads the
+    store.
 
     Sources are named by the process's name; ``None`` is the store.
 
@@ -109,9 +110,9 @@
         own = self.membership.own
         candidates = self._candidates()
         near = [m for m in candidates if m.data_centre == own.data_centre]
-        source = _fanout.source_for(own, near)
+        source = _replication_tree.source_for(own, near)
         if source is None:
-            away = [m for m in candidates if _fanout.is_root(m)]
+            away = [m for m in candidates if _replication_tree.is_root(m)]
             source = self.random_state.choice(away) if away else None
         return None if source is None else source.name
 
@@ -149,9 +150,9 @@
         members = {member.name: member for member in self.membership.alive()}
         if name not in members:
             return False
-        if not any(_fanout.is_root(member) for member in members.values()):
+        if not any(_replication_tree.is_root(member) for member in members.values()):
             return False
-        return _fanout.may_follow(self.membership.own, members[name])
+        return _replication_tree.may_follow(self.membership.own, members[name])
 
     def is_misplaced(self, name):
         """Return whether the store should be read instead of ``name``, or no more."""
--- a/boragegw/gateway/tests/test_fanout.py
+++ b/boragegw/gateway/tests/test_replication_tree.py
@@ -6,7 +6,7 @@
 import pytest
 
 from boragegw import gateway
-from boragegw.gateway import _fanout
+from boragegw.gateway import _replication_tree
 
 #: Mbit/s of the machines' links: a few large ones among many small ones.
 LINKS = (200.0, 200.0, 100.0, 10.0, 10.0, 10.0, 5.0, 5.0)
@@ -34,9 +34,11 @@
 def sources(members):
     """Return the source of each process that is not a root, by name."""
     return {
-        own.name: _fanout.source_for(own, [m for m in members if m is not own])
+        own.name: _replication_tree.source_for(
+            own, [m for m in members if m is not own]
+        )
         for own in members
-        if not _fanout.is_root(own)
+        if not _replication_tree.is_root(own)
     }
 
 
@@ -56,7 +58,7 @@
     found = sources(members)
     counts = collections.Counter(source.name for source in found.values())
     for member in members:
-        assert counts[member.name] <= _fanout.followers_of(member)
+        assert counts[member.name] <= _replication_tree.followers_of(member)
     assert all(steps(name, found) <= 11 for name in found)
 
 
@@ -73,14 +75,17 @@
     for own in members[1:]:
         known = random_state.sample(members[1:], 30)
         others = [m for m in [members[0], *known] if m is not own]
-        found[own.name] = _fanout.source_for(own, others)
+        found[own.name] = _replication_tree.source_for(own, others)
     assert all(steps(name, found) for name in found)
 
 
 def test_source_that_no_longer_watches_may_be_followed_one_way_only():
     members = fleet(2, (10.0,))
     members[0].watches_store = False
-    ways = [_fanout.may_follow(*members), _fanout.may_follow(*members[::-1])]
+    ways = [
+        _replication_tree.may_follow(*members),
+        _replication_tree.may_follow(*members[::-1]),
+    ]
     assert sorted(ways) == [False, True]
 
 
--- a/boragegw/gateway/tests/test_patience.py
+++ b/boragegw/gateway/tests/test_source_timeout.py
@@ -2,28 +2,28 @@
 
 import pytest
 
-from boragegw.gateway import _knowledge, _patience
+from boragegw.gateway import _source_timeout, _sources
 
 #: Mbit/s of the machine's link.
 LINK = 100.0
 
 
 def behind(now=0.0):
-    patience = _patience.Patience()
+    patience = _source_timeout.Patience()
     patience.learn(1, now)
     patience.ask(now)
     return patience
 
 
 def arriving(received, size, began=0.0):
-    progress = _knowledge.Progress()
+    progress = _sources.Progress()
     progress.begin(size, began)
     progress.received = received
     return progress
 
 
 def test_process_that_knows_as_much_as_the_others_waits_for_ever():
-    patience = _patience.Patience()
+    patience = _source_timeout.Patience()
     patience.learn(0, 0.0)
     patience.ask(0.0)
     assert not patience.gives_up(1000.0)
@@ -43,7 +43,7 @@
 
 def test_watch_that_began_long_ago_is_judged_from_the_news_on():
     """Its answer may be on the way: it was left as soon as others were heard."""
-    patience = _patience.Patience()
+    patience = _source_timeout.Patience()
     patience.ask(0.0)
     patience.learn(1, 20.0)
     assert not patience.gives_up(20.29)
@@ -79,5 +79,5 @@
 
 
 def test_slow_answer_matters_only_while_others_know_more():
-    patience = _patience.Patience()
+    patience = _source_timeout.Patience()
     assert not patience.is_slow(arriving(1000, 100_000), LINK, 10.0)
--- a/boragegw/platform/tests/test_slow_sources.py
+++ b/boragegw/platform/tests/test_slow_sources.py
@@ -5,7 +5,7 @@
 import pytest
 
 from boragegw import gateway, standins
-from boragegw.gateway import _knowledge
+from boragegw.gateway import _sources
 from boragegw.gateway.tests import test_catalogue, test_replication
 from boragegw.platform.tests import test_large_configuration, test_sources
 from boragegw.standins import _wire_store, _wire_world
@@ -173,7 +173,7 @@
 
     @property
     def progress(self):
-        return _knowledge.Progress()
+        return _sources.Progress()
 
     async def read_all(self):
         await asyncio.sleep(3600.0)
