--- a/boragegw/gateway/__init__.py
+++ b/boragegw/gateway/__init__.py
@@ -9,7 +9,7 @@
 from boragegw.gateway._directory import DirectoryPolicy
 from boragegw.gateway._endpoint import Endpoint, Reply, path_of, query_of
 from boragegw.gateway._events import EventLog
-from boragegw.gateway._fetch import Fetched, Fetcher
+from boragegw.gateway._fetch import FetchedResponse, Fetcher
 from boragegw.gateway._follower import Follower
 from boragegw.gateway._front import BodyMemory, FrontConnection, Request
 from boragegw.gateway._membership import Membership
@@ -21,12 +21,12 @@
 from boragegw.gateway._sources import (
     Decoder,
     HistoryLostError,
+    MissCount,
     Progress,
-    Reading,
+    ReadResult,
     Record,
     Source,
     SourceError,
-    Told,
 )
 from boragegw.gateway._upstream import Answer, Connection, ExchangeError, Failure, Pool
 
@@ -50,7 +50,7 @@
     "EventLog",
     "ExchangeError",
     "Failure",
-    "Fetched",
+    "FetchedResponse",
     "Fetcher",
     "Follower",
     "FrontConnection",
@@ -66,7 +66,7 @@
     "PeerSource",
     "Pool",
     "Progress",
-    "Reading",
+    "ReadResult",
     "Record",
     "ReplicaServer",
     "Reply",
@@ -75,7 +75,7 @@
     "ServiceState",
     "Source",
     "SourceError",
-    "Told",
+    "MissCount",
     "fingerprint",
     "path_of",
     "query_of",
--- a/boragegw/gateway/_catalogue.py
+++ b/boragegw/gateway/_catalogue.py
@@ -13,15 +13,15 @@
     _sources,
 )
 
-#: Processes of which it is remembered what they have told of their missed changes.
-TELLERS = 256
+#: Processes whose :class:`~boragegw.gateway.MissCount` is kept.
+MAX_MISS_COUNTS = 256
 
 
 class Catalogue:
     """Holds the records and writes what they mean to the board.
 
     :param decoder: a :class:`Decoder`.
-    :param on_addresses_gone: see :class:`Listings`.
+    :param on_addresses_gone: see :class:`ServerRegistry`.
     :param on_joined: the same.
     :ivar generation: grows with each reading that is adopted.
     """
@@ -36,9 +36,9 @@
         self._records = {}
         self._previous = {}
         self._retained = {}
-        self._told = utils.Recent(TELLERS)
-        self._history = _history.History(log)
-        self._listings = _server_registry.Listings(
+        self._miss_counts = utils.Recent(MAX_MISS_COUNTS)
+        self._history = _history.ChangeHistory(log)
+        self._registry = _server_registry.ServerRegistry(
             board,
             now=now,
             log=log,
@@ -64,11 +64,11 @@
     @property
     def trouble_at(self):
         """Monotonic seconds at which the store had trouble last."""
-        return self._listings.trouble_at
+        return self._registry.trouble_at
 
     @trouble_at.setter
     def trouble_at(self, moment):
-        self._listings.trouble_at = moment
+        self._registry.trouble_at = moment
 
     @property
     def misses(self):
@@ -83,12 +83,12 @@
     # What other processes read.
 
     def snapshot(self):
-        """Return a :class:`Reading` of all records."""
+        """Return a :class:`ReadResult` of all records."""
         records = list(self._records.values())
-        return _sources.Reading(records, self._position, self._history.consistent)
+        return _sources.ReadResult(records, self._position, self._history.consistent)
 
     def changes(self, after, misses=None):
-        """Return a :class:`Reading` of the changes after ``after``.
+        """Return a :class:`ReadResult` of the changes after ``after``.
 
         :param misses: value of :attr:`misses` when the follower was last told; it has
             been told all that this process knows if it is the same.
@@ -96,7 +96,7 @@
         """
         self._history.check(after, misses)
         records = sorted(self._changed_after(after), key=lambda r: r.revision)
-        return _sources.Reading(records, self._position)
+        return _sources.ReadResult(records, self._position)
 
     def _changed_after(self, after):
         """Yield what has changed after ``after``, up to the position.
@@ -115,13 +115,13 @@
         """Return the one before a large ``record``, or ``None`` if it is not kept."""
         return self._previous.get(record.key)
 
-    def told(self, address):
-        """Return what the process at ``address`` has :class:`Told`, or ``None``."""
-        return self._told.get(address)
+    def miss_count(self, address):
+        """Return the :class:`MissCount` of the process at ``address``, or ``None``."""
+        return self._miss_counts.get(address)
 
-    def _note_told(self, told):
-        if told is not None:
-            self._told.add(told.address, told)
+    def _note_miss_count(self, miss_count):
+        if miss_count is not None:
+            self._miss_counts.add(miss_count.address, miss_count)
 
     async def wait_for_change(self, timeout):
         """Wait until a record has changed, or ``timeout`` seconds have passed."""
@@ -149,7 +149,7 @@
         self._keep_previous(before)
         self._position = reading.position
         self.generation += 1
-        self._note_told(reading.told)
+        self._note_miss_count(reading.miss_count)
         self._take_retained(record for record in reading.records if record.retained)
         self._finish()
         return True
@@ -183,7 +183,7 @@
         self._position = max(self._position, reading.position)
         self.generation += 1
         self._keep_previous(before)
-        self._note_told(reading.told)
+        self._note_miss_count(reading.miss_count)
         if reading.records or missed:
             self._finish()
 
@@ -204,7 +204,7 @@
             listing = self.decoder.listing(record)
             if listing is None:
                 continue
-            if self._listings.learn(_reports.Report(record, listing)):
+            if self._registry.learn(_reports.Report(record, listing)):
                 taken += 1
                 self._retain(record)
         return taken
@@ -232,7 +232,7 @@
         self._records.pop(record.key, None)
         self._previous.pop(record.key, None)
         self._history.add_deletion(record)
-        self._listings.remove(record.key)
+        self._registry.remove(record.key)
 
     def _keep_previous(self, before):
         """Keep what a reading has replaced if a difference to it may save much.
@@ -251,7 +251,7 @@
 
     def settle(self):
         """Drop the servers that stayed away after trouble with the store."""
-        self._listings.settle()
+        self._registry.settle()
 
     def _finish(self):
         evacuated = {self.decoder.evacuated(r) for r in self._records.values()}
@@ -261,7 +261,7 @@
                 "evacuations", data_centres=sorted(evacuated), position=self._position
             )
             self.board.evacuated = frozenset(evacuated)
-        self._listings.regroup()
+        self._registry.regroup()
         for changed in self._waiting:
             if not changed.done():
                 changed.set_result(None)
@@ -283,8 +283,8 @@
             return dataclasses.replace(known, revision=record.revision)
         listing = self.decoder.listing(record)
         if listing is not None:
-            return self._listings.adopt(record, listing, self._position < 0)
-        self._listings.remove(record.key)
+            return self._registry.adopt(record, listing, self._position < 0)
+        self._registry.remove(record.key)
         return record
 
     def _adopt_configuration(self, configuration, record, seconds):
--- a/boragegw/gateway/_fetch.py
+++ b/boragegw/gateway/_fetch.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Fetched:
+class FetchedResponse:
     """A whole answer.
 
     :param headers: pairs of bytes, names in lower case.
@@ -47,10 +47,10 @@
         self.progress = _sources.Progress()
         self._pool = _upstream.Pool(address, now, CONNECT_TIMEOUT)
 
-    async def get(self, path, patience):
-        """Return the :class:`Fetched` answer to GET ``path``.
+    async def get(self, path, timeout):
+        """Return the :class:`FetchedResponse` answer to GET ``path``.
 
-        :param patience: seconds until the answer has begun.
+        :param timeout: seconds until the answer has begun.
         :raises SourceError: if there is none, or it stops arriving.
         """
         self.counters[self.counter] += 1
@@ -61,7 +61,7 @@
         except _upstream.ExchangeError as error:
             raise _sources.SourceError(str(error)) from error
         try:
-            async with asyncio.timeout(patience) as limit:
+            async with asyncio.timeout(timeout) as limit:
                 answer = await connection.start(request, lambda answer: True)
                 body = await self._whole_body(answer, limit)
         except (_upstream.ExchangeError, TimeoutError) as error:
@@ -75,7 +75,7 @@
         finally:
             self.progress.end()
         self._pool.release(connection)
-        return Fetched(answer.status, answer.headers, body)
+        return FetchedResponse(answer.status, answer.headers, body)
 
     def _give_up(self, connection):
         self._pool.discard(connection)
--- a/boragegw/gateway/_follower.py
+++ b/boragegw/gateway/_follower.py
@@ -41,7 +41,7 @@
 
 
 class Follower:
-    """Reads from the source that :class:`Choice` names, and watches it.
+    """Reads from the source that :class:`SourceSelector` names, and watches it.
 
     While a source is asked, :meth:`check` looks whether it is still the right one and
     whether its answer arrives.
@@ -71,15 +71,15 @@
         self.random_state = random_state
         self.log = log
         self.first_start = first_start
-        self._choice = _source_selection.Choice(
+        self._selector = _source_selection.SourceSelector(
             catalogue, membership, now=now, random_state=random_state
         )
-        self._question = None
+        self._hedged_read = None
         self._following = None
         self._peer = None
         self._store_failures = 0
         self._lost_pause = 0.0
-        self._patience = _source_timeout.Patience()
+        self._timeout = _source_timeout.SourceTimeout()
         self._asked_at = math.inf
         self._is_rereading = False
         self._bytes_before = 0
@@ -113,16 +113,16 @@
         for one answer. Guards against a store that hides changes from some processes:
         those that watch it for others would ask it again and again.
         """
-        informed = self._choice.informed_peer() if self._was_silent else None
+        informed = self._selector.informed_peer() if self._was_silent else None
         self._was_silent = False
         self._is_detour = informed is not None
-        return informed or self._choice.source()
+        return informed or self._selector.source()
 
     async def _get_acquainted(self):
         started = self.now()
         await asyncio.sleep(ACQUAINTANCE)
         while self.now() < started + LONGEST_ACQUAINTANCE:  # noqa: ASYNC110
-            if self._choice.should_watch() or self._choice.best_peer() is not None:
+            if self._selector.should_watch() or self._selector.best_peer() is not None:
                 return
             await asyncio.sleep(0.05)
 
@@ -160,17 +160,17 @@
             else:
                 await self._watch(name, source)
         finally:
-            self._question = None
+            self._hedged_read = None
             self._following = None
             self._asked_at = math.inf
 
     async def _watch(self, name, source):
         position, wait = self.catalogue.position, self._wait
-        self._patience.ask(self._asked_at)
+        self._timeout.ask(self._asked_at)
         try:
             answer = await self._ask(name, source, lambda s: s.watch(position, wait))
         finally:
-            self._patience.stop()
+            self._timeout.stop()
         if answer is None:
             return
         name, reading = answer
@@ -202,17 +202,17 @@
         self._note_revision()
 
     async def _ask(self, name, source, ask):
-        self._question = _hedged_read.Question(ask)
-        self._question.put_to(name, source)
-        return await self._question.answer()
+        self._hedged_read = _hedged_read.HedgedRead(ask)
+        self._hedged_read.put_to(name, source)
+        return await self._hedged_read.answer()
 
     def _note_revision(self):
         self.membership.own.revision = self.catalogue.revision
         self._note_lag(self.now())
 
     def _succeeded(self, name):
-        self._choice.failing = False
-        self._patience.succeed()
+        self._selector.failing = False
+        self._timeout.succeed()
         if name is not None:
             return
         self._store_failures = 0
@@ -241,7 +241,7 @@
         read tells. Another process has all changes up to its position, or says that it
         does not.
         """
-        self._choice.failing = True
+        self._selector.failing = True
         # The next watch is short: whether its source answers is known soon.
         self._wait = FIRST_WATCH_WAIT
         told = {"reason": str(error), "received": error.received}
@@ -250,7 +250,7 @@
             self._store_failures += 1
             self.log.event("store-read-failed", **told)
         else:
-            self._choice.avoid(name)
+            self._selector.avoid(name)
             self.log.event("peer-source-failed", peer=name, **told)
         if name is not None or self._store_failures < FAILURES_TO_LOSE:
             # Watches are cut now and then; one failure says nothing of the store.
@@ -267,10 +267,10 @@
 
     async def _pause(self):
         """Wait before the next try, or until another process can read the store."""
-        probing = self._choice.is_prober()
+        probing = self._selector.is_prober()
         longest = WATCHER_RETRY if probing else OTHERS_RETRY
         end = self.now() + longest * (0.6 + 0.8 * self.random_state.random())
-        while self.now() < end and not self._choice.peer():  # noqa: ASYNC110
+        while self.now() < end and not self._selector.peer():  # noqa: ASYNC110
             await asyncio.sleep(0.05)
 
     # Watching the watch.
@@ -293,10 +293,10 @@
         progress = self._progress()
         if self._is_rereading and self.catalogue.position < 0:
             self.membership.board.learning = self._bytes() > self._bytes_before
-        self._patience.expect(self._source_knows_more())
+        self._timeout.expect(self._source_knows_more())
         if progress.received:
             self._check_rate(progress, now)
-        elif self._patience.gives_up(now):
+        elif self._timeout.gives_up(now):
             self._was_silent = True
             self._leave_source("behind the others")
         elif not self._is_rereading and not self._is_detour:
@@ -304,15 +304,15 @@
 
     def _check_rate(self, progress, now):
         """Ask a second source if the answer arrives too slowly; drop neither."""
-        asked = self._question.asked
+        asked = self._hedged_read.asked
         if len(asked) > 1 or now < self._second_at + SECOND_INTERVAL:
             return
-        if not self._patience.is_slow(progress, self.membership.own.link, now):
+        if not self._timeout.is_slow(progress, self.membership.own.link, now):
             return
         self._second_at = now
         if self._following is not None:
-            self._choice.avoid(self._following)
-        name = self._choice.peer()
+            self._selector.avoid(self._following)
+        name = self._selector.peer()
         if name in asked:
             return
         self.log.event(
@@ -322,21 +322,21 @@
             size=progress.size,
             second=name or "store",
         )
-        self._question.put_to(name, self._source(name))
+        self._hedged_read.put_to(name, self._source(name))
 
     def _check_place(self):
-        if self._following is not None and not self._choice.is_good(self._following):
+        if self._following is not None and not self._selector.is_good(self._following):
             self._leave_source("it is no source any more")
-        elif self._choice.is_misplaced(self._following):
+        elif self._selector.is_misplaced(self._following):
             self._turn_away()
         elif self._following is None and self._asked_at < math.inf:
             # A watch that this process began for itself may serve the others too.
-            self.membership.own.watches_store = self._choice.should_watch()
+            self.membership.own.watches_store = self._selector.should_watch()
 
     def _progress(self):
-        if self._question is None:
+        if self._hedged_read is None:
             return _sources.Progress()
-        return self._question.progress
+        return self._hedged_read.progress
 
     def _bytes(self):
         return self.membership.board.counters["sources.bytes"]
@@ -354,7 +354,7 @@
 
     def _note_lag(self, now):
         lag = self.lag
-        self._patience.learn(lag, now)
+        self._timeout.learn(lag, now)
         self.membership.board.behind = lag > 0
 
     def _leave_source(self, reason):
@@ -370,9 +370,9 @@
         if name is None:
             self.store.close()
         else:
-            self._choice.avoid(name)
+            self._selector.avoid(name)
         self._turn_away()
 
     def _turn_away(self):
-        if self._question is not None:
-            self._question.drop()
+        if self._hedged_read is not None:
+            self._hedged_read.drop()
--- a/boragegw/gateway/_hedged_read.py
+++ b/boragegw/gateway/_hedged_read.py
@@ -5,11 +5,11 @@
 from boragegw.gateway import _sources
 
 
-class Question:
+class HedgedRead:
     """Waits for the first whole answer.
 
     :param ask: function from a :class:`~boragegw.gateway.Source` to a coroutine that
-        returns a :class:`~boragegw.gateway.Reading`.
+        returns a :class:`~boragegw.gateway.ReadResult`.
     """
 
     def __init__(self, ask):
--- a/boragegw/gateway/_history.py
+++ b/boragegw/gateway/_history.py
@@ -8,7 +8,7 @@
 DELETIONS = 2000
 
 
-class History:
+class ChangeHistory:
     """Keeps deletions, and notes where changes have been missed.
 
     Guards against changes that a watch has not told: those that follow this process
--- a/boragegw/gateway/_membership.py
+++ b/boragegw/gateway/_membership.py
@@ -45,7 +45,7 @@
 FULL_EVERY = 4
 
 
-class Known:
+class KnownPeer:
     """Another process, when it was last heard of, and since when it is known."""
 
     __slots__ = ("heard_at", "known_since", "member")
@@ -125,7 +125,7 @@
 
     def spread_crash(self, fingerprint):
         """Tell all in sight that a request has crashed a backend server."""
-        datagram = self._encode(_peer_messages.Crash(fingerprint))
+        datagram = self._encode(_peer_messages.CrashNotice(fingerprint))
         for member in self.alive():
             self._send(_pair(member.peer), datagram)
 
@@ -161,7 +161,7 @@
         if len(fresh) > FANOUT:
             chosen = self._sample(fresh, CROWD_NEWS)
             pulses += [_pulse_of(k.member, now - k.heard_at) for k in chosen]
-        return self._encode(_peer_messages.Pulses(pulses))
+        return self._encode(_peer_messages.UpdateBatch(pulses))
 
     def _heartbeat(self, most):
         """Return a heartbeat with news of at most ``most`` others, newcomers first."""
@@ -172,7 +172,8 @@
         others = [k for k in fresh if k not in newcomers]
         chosen = newcomers + others[: max(0, most - len(newcomers))]
         news = [
-            _peer_messages.News(k.member, round(now - k.heard_at, 3)) for k in chosen
+            _peer_messages.GossipedMember(k.member, round(now - k.heard_at, 3))
+            for k in chosen
         ]
         alone = not fresh
         return self._encode(_peer_messages.Heartbeat(self.own, news, alone))
@@ -220,11 +221,11 @@
         except (msgspec.DecodeError, msgspec.ValidationError):
             self.board.counters["peers.datagrams_dropped"] += 1
             return
-        if isinstance(message, _peer_messages.Crash):
+        if isinstance(message, _peer_messages.CrashNotice):
             if self.on_crash is not None:
                 self.on_crash(message.fingerprint)
             return
-        if isinstance(message, _peer_messages.Pulses):
+        if isinstance(message, _peer_messages.UpdateBatch):
             for pulse in message.pulses:
                 self._take_pulse(pulse)
             self._changed()
@@ -287,7 +288,7 @@
         if known is None or known.member.incarnation != member.incarnation:
             self.log.event("peer-seen", peer=member.name, life=member.life)
             self._forget(member.name)
-            known = Known(member, heard_at, self.now())
+            known = KnownPeer(member, heard_at, self.now())
             self._known[member.name] = known
             self._by_incarnation[member.incarnation] = known
             return
@@ -327,7 +328,7 @@
 
 
 def _pulse_of(member, age):
-    return _peer_messages.Pulse(
+    return _peer_messages.MemberUpdate(
         member.incarnation,
         member.beat,
         member.life,
--- a/boragegw/gateway/_peer_messages.py
+++ b/boragegw/gateway/_peer_messages.py
@@ -48,7 +48,7 @@
     retained: int = 0
 
 
-class News(msgspec.Struct, array_like=True):
+class GossipedMember(msgspec.Struct, array_like=True):
     """What the sender has heard of another process.
 
     :param age: seconds since it was heard.
@@ -65,11 +65,11 @@
     """
 
     sender: Member
-    news: list[News] = []
+    news: list[GossipedMember] = []
     wants_answer: bool = False
 
 
-class Pulse(msgspec.Struct, array_like=True, omit_defaults=True):
+class MemberUpdate(msgspec.Struct, array_like=True, omit_defaults=True):
     """What changes of a process from beat to beat, for those that know the rest.
 
     :param incarnation: names the process.
@@ -88,17 +88,17 @@
     retained: int = 0
 
 
-class Pulses(msgspec.Struct, array_like=True, tag="p"):
+class UpdateBatch(msgspec.Struct, array_like=True, tag="p"):
     """The sender's pulse, and with a large fleet those of some others."""
 
-    pulses: list[Pulse]
+    pulses: list[MemberUpdate]
 
 
-class Crash(msgspec.Struct, array_like=True, tag="c"):
+class CrashNotice(msgspec.Struct, array_like=True, tag="c"):
     """A backend server crashed while it ran the request with this fingerprint."""
 
     fingerprint: bytes
 
 
 #: Any of the datagrams.
-Datagram = Heartbeat | Pulses | Crash
+Datagram = Heartbeat | UpdateBatch | CrashNotice
--- a/boragegw/gateway/_replication.py
+++ b/boragegw/gateway/_replication.py
@@ -3,8 +3,8 @@
 ``GET /v1/replica/records`` returns all records, ``GET /v1/replica/changes`` with
 ``after``, ``misses``, ``incarnation`` and ``wait_ms`` those that have changed since, as
 soon as there are any. ``GET /v1/replica/retained`` returns those of which the store
-holds an older form. The body is a :class:`Replica` in MessagePack; a large one is
-compressed, and a large record that changes goes as the difference to its last value.
+holds an older form. The body is a :class:`ReplicaResponse` in MessagePack; a large one
+is compressed, and a large record that changes goes as the difference to its last value.
 """
 
 import msgspec
@@ -25,7 +25,7 @@
 HISTORY_LOST = 410
 
 
-class Change(msgspec.Struct, array_like=True, omit_defaults=True):
+class RecordChange(msgspec.Struct, array_like=True, omit_defaults=True):
     """A record, or what makes it of an earlier one.
 
     :param value: bytes, or ``None`` if the record was deleted.
@@ -41,15 +41,15 @@
     retained: bool = False
 
 
-class Replica(msgspec.Struct, array_like=True):
-    """The body of an answer; ``position`` as in :class:`~boragegw.gateway.Reading`.
+class ReplicaResponse(msgspec.Struct, array_like=True):
+    """The body of an answer; ``position`` as in :class:`~boragegw.gateway.ReadResult`.
 
     :param misses: see :meth:`~boragegw.gateway.Catalogue.changes`.
     :param incarnation: of the process that answers; ``misses`` counts from its start.
-    :param consistent: as in :class:`~boragegw.gateway.Reading`.
+    :param consistent: as in :class:`~boragegw.gateway.ReadResult`.
     """
 
-    changes: list[Change]
+    changes: list[RecordChange]
     position: int
     misses: int = 0
     incarnation: int = 0
@@ -133,7 +133,9 @@
 
     def _reply(self, changes, position=0, consistent=False):
         misses = self.catalogue.misses
-        replica = Replica(list(changes), position, misses, self.incarnation, consistent)
+        replica = ReplicaResponse(
+            list(changes), position, misses, self.incarnation, consistent
+        )
         body = self._encode(replica)
         content_type = b"application/msgpack"
         if len(body) < _compression.LARGE:
@@ -147,7 +149,7 @@
         if base is None or base.revision > after:
             return _whole_change(record)
         difference = _compression.difference(record.value, base.value)
-        return Change(
+        return RecordChange(
             record.key, record.revision, difference, base.revision, record.retained
         )
 
@@ -166,7 +168,7 @@
         self.now = now
         self.counters = counters
         self._fetcher = _fetch.Fetcher(address, now, counters, "store.peer_reads")
-        self._decode = msgspec.msgpack.Decoder(Replica).decode
+        self._decode = msgspec.msgpack.Decoder(ReplicaResponse).decode
 
     @property
     def progress(self):
@@ -180,9 +182,9 @@
     async def watch(self, after, wait):
         """Return the changes after the position ``after``."""
         path = f"{CHANGES}?after={after}&wait_ms={int(wait * 1000)}"
-        told = self.catalogue.told(self.address)
-        if told is not None:
-            path += f"&misses={told.misses}&incarnation={told.incarnation}"
+        miss_count = self.catalogue.miss_count(self.address)
+        if miss_count is not None:
+            path += f"&misses={miss_count.misses}&incarnation={miss_count.incarnation}"
         return await self._read(path, wait + ANSWER_TIMEOUT)
 
     async def read_retained(self):
@@ -193,8 +195,8 @@
         """Close the idle connections."""
         self._fetcher.close()
 
-    async def _read(self, path, patience):
-        answer = await self._fetcher.get(path, patience)
+    async def _read(self, path, timeout):
+        answer = await self._fetcher.get(path, timeout)
         if answer.status == HISTORY_LOST:
             raise _sources.HistoryLostError(f"{path}: status {answer.status}")
         if answer.status != 200:
@@ -204,8 +206,12 @@
             records = [self._record(change) for change in replica.changes]
         except (msgspec.DecodeError, _compression.CompressionError) as error:
             raise _sources.SourceError(f"unreadable answer: {error}") from error
-        told = _sources.Told(self.address, replica.incarnation, replica.misses)
-        return _sources.Reading(records, replica.position, replica.consistent, told)
+        miss_count = _sources.MissCount(
+            self.address, replica.incarnation, replica.misses
+        )
+        return _sources.ReadResult(
+            records, replica.position, replica.consistent, miss_count
+        )
 
     def _record(self, change):
         if not change.base or change.value is None:
@@ -227,7 +233,7 @@
 
 
 def _whole_change(record):
-    return Change(record.key, record.revision, record.value, 0, record.retained)
+    return RecordChange(record.key, record.revision, record.value, 0, record.retained)
 
 
 def _whole(answer):
--- a/boragegw/gateway/_reports.py
+++ b/boragegw/gateway/_reports.py
@@ -28,7 +28,7 @@
         return self.listing.started_ms, self.listing.sequence
 
 
-class Reports:
+class LatestReports:
     """Keeps the newest report of each server, whatever the store holds later.
 
     Guards against a report that was delayed and overwrites a newer one: it would bring
--- a/boragegw/gateway/_server_registry.py
+++ b/boragegw/gateway/_server_registry.py
@@ -4,7 +4,7 @@
 from boragegw.gateway import _reports, _sources
 
 
-class Listings:
+class ServerRegistry:
     """Writes the servers that are listed to the board.
 
     :param on_addresses_gone: called with addresses that are no longer listed.
@@ -20,7 +20,7 @@
         self.on_addresses_gone = on_addresses_gone
         self.on_joined = on_joined
         self.trouble_at = float("-inf")
-        self._reports = _reports.Reports()
+        self._reports = _reports.LatestReports()
         self._doubted = {}
 
     def adopt(self, record, listing, is_first):
--- a/boragegw/gateway/_source_selection.py
+++ b/boragegw/gateway/_source_selection.py
@@ -11,7 +11,7 @@
 AVOIDED = 2.0
 
 
-class Choice:
+class SourceSelector:
     """Chooses a source among the store and the other processes.
 
     A few processes watch the store, the first of each data centre by link and then in
--- a/boragegw/gateway/_source_timeout.py
+++ b/boragegw/gateway/_source_timeout.py
@@ -15,7 +15,7 @@
 BYTES_PER_MEGABIT = 125_000
 
 
-class Patience:
+class SourceTimeout:
     """Decides when another source is asked.
 
     A process that knows as much as the others waits for ever. One that knows less waits
--- a/boragegw/gateway/_sources.py
+++ b/boragegw/gateway/_sources.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Told:
+class MissCount:
     """What another process had told of its missed changes when it was read.
 
     :param address: ``(host, port)`` of the process.
@@ -43,20 +43,20 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reading:
+class ReadResult:
     """What one read returned.
 
     :param records: list of :class:`Record`.
     :param position: revision up to which the reader now knows everything.
     :param consistent: a full reading that shows all as it was at ``position``. One in
         pages may also show later changes, and lack what was deleted later.
-    :param told: :class:`Told` if another process was read.
+    :param miss_count: :class:`MissCount` if another process was read.
     """
 
     records: list
     position: int
     consistent: bool = False
-    told: Told | None = None
+    miss_count: MissCount | None = None
 
 
 @dataclasses.dataclass(slots=True)
@@ -116,14 +116,14 @@
 
     @abc.abstractmethod
     async def read_all(self):
-        """Return a :class:`Reading` of all records.
+        """Return a :class:`ReadResult` of all records.
 
         :raises SourceError: if it cannot be read.
         """
 
     @abc.abstractmethod
     async def watch(self, after, wait):
-        """Return a :class:`Reading` of the changes after the position ``after``.
+        """Return a :class:`ReadResult` of the changes after the position ``after``.
 
         :param wait: seconds after which it returns without a change.
         :raises HistoryLostError: if the changes are no longer known.
--- a/boragegw/gateway/tests/test_catalogue.py
+++ b/boragegw/gateway/tests/test_catalogue.py
@@ -45,7 +45,7 @@
         gateway.Record(key, b"" if revision > 0 else None, abs(revision))
         for key, revision in revisions.items()
     ]
-    return gateway.Reading(records, position)
+    return gateway.ReadResult(records, position)
 
 
 def told(source, after):
--- a/boragegw/gateway/tests/test_history.py
+++ b/boragegw/gateway/tests/test_history.py
@@ -16,7 +16,7 @@
     source.adopt_snapshot(reading(10, a=1, b=2, c=3))
     left = {k: n for k, n in {"a": 1, "b": 2, "c": 3}.items() if k not in keys}
     second = reading(10, **left)
-    source.adopt_snapshot(gateway.Reading(second.records, 10, consistent))
+    source.adopt_snapshot(gateway.ReadResult(second.records, 10, consistent))
     return source
 
 
@@ -93,16 +93,16 @@
     """Else its own followers would learn a second later what was missed."""
     pair = await test_replication.Pair().start(b"first")
     assert not (await pair.client.read_all()).consistent
-    pair.source.adopt_changes(gateway.Reading([], 5))
+    pair.source.adopt_changes(gateway.ReadResult([], 5))
     assert (await pair.client.read_all()).consistent
 
 
 def missed_by(source):
     """Let a source find at position 5 that it has missed a change of revision 4."""
-    source.adopt_changes(gateway.Reading([], 5))
+    source.adopt_changes(gateway.ReadResult([], 5))
     value = test_replication.large(2)
     record = gateway.Record(test_replication.KEY, value, 4)
-    source.adopt_snapshot(gateway.Reading([record], 5))
+    source.adopt_snapshot(gateway.ReadResult([record], 5))
 
 
 def another_client(pair):
@@ -131,7 +131,7 @@
 async def test_answer_that_was_not_taken_counts_as_not_told():
     """A second source was quicker: the missed change would never be known here."""
     pair = await test_replication.Pair().start(test_replication.large())
-    pair.source.adopt_changes(gateway.Reading([], 5))
+    pair.source.adopt_changes(gateway.ReadResult([], 5))
     await pair.follow()
     missed_by(pair.source)
     await pair.client.read_all()  # dropped
--- a/boragegw/gateway/tests/test_membership.py
+++ b/boragegw/gateway/tests/test_membership.py
@@ -132,7 +132,7 @@
     wire.add("p2", incarnation=2)
     wire.run(1.0)
     stale = _peer_messages.Heartbeat(
-        wire.processes["p1"].own, [_peer_messages.News(old.own, 0.9)]
+        wire.processes["p1"].own, [_peer_messages.GossipedMember(old.own, 0.9)]
     )
     wire.processes["p3"].datagram_received(msgspec.msgpack.encode(stale), ("p1", 2))
     (known,) = [m for m in wire.processes["p3"].alive() if m.name == "p2"]
@@ -255,8 +255,8 @@
 def test_pulse_of_an_unknown_process_is_no_news():
     wire = Wire()
     process = wire.add("p0")
-    pulse = _peer_messages.Pulse(7, 9, gateway.Life.READY, 3, True, True)
-    pulses = _peer_messages.Pulses([pulse])
+    pulse = _peer_messages.MemberUpdate(7, 9, gateway.Life.READY, 3, True, True)
+    pulses = _peer_messages.UpdateBatch([pulse])
     process.datagram_received(msgspec.msgpack.encode(pulses), ("p9", 2))
     assert names(process) == []
 
--- a/boragegw/gateway/tests/test_replication.py
+++ b/boragegw/gateway/tests/test_replication.py
@@ -24,7 +24,7 @@
 
 
 def snapshot(value, revision):
-    return gateway.Reading([gateway.Record(KEY, value, revision)], revision)
+    return gateway.ReadResult([gateway.Record(KEY, value, revision)], revision)
 
 
 class Pair:
--- a/boragegw/gateway/tests/test_source_timeout.py
+++ b/boragegw/gateway/tests/test_source_timeout.py
@@ -9,10 +9,10 @@
 
 
 def behind(now=0.0):
-    patience = _source_timeout.Patience()
-    patience.learn(1, now)
-    patience.ask(now)
-    return patience
+    timeout = _source_timeout.SourceTimeout()
+    timeout.learn(1, now)
+    timeout.ask(now)
+    return timeout
 
 
 def arriving(received, size, began=0.0):
@@ -23,44 +23,44 @@
 
 
 def test_process_that_knows_as_much_as_the_others_waits_for_ever():
-    patience = _source_timeout.Patience()
-    patience.learn(0, 0.0)
-    patience.ask(0.0)
-    assert not patience.gives_up(1000.0)
+    timeout = _source_timeout.SourceTimeout()
+    timeout.learn(0, 0.0)
+    timeout.ask(0.0)
+    assert not timeout.gives_up(1000.0)
 
 
 def test_silent_source_is_left_and_the_next_is_waited_for_longer():
-    patience = behind()
-    assert not patience.gives_up(0.3)
-    assert patience.gives_up(0.31)
-    patience.ask(0.31)
-    assert not patience.gives_up(0.9)
-    assert patience.gives_up(0.92)
-    patience.succeed()
-    patience.ask(1.0)
-    assert patience.gives_up(1.31)
+    timeout = behind()
+    assert not timeout.gives_up(0.3)
+    assert timeout.gives_up(0.31)
+    timeout.ask(0.31)
+    assert not timeout.gives_up(0.9)
+    assert timeout.gives_up(0.92)
+    timeout.succeed()
+    timeout.ask(1.0)
+    assert timeout.gives_up(1.31)
 
 
 def test_watch_that_began_long_ago_is_judged_from_the_news_on():
     """Its answer may be on the way: it was left as soon as others were heard."""
-    patience = _source_timeout.Patience()
-    patience.ask(0.0)
-    patience.learn(1, 20.0)
-    assert not patience.gives_up(20.29)
-    assert patience.gives_up(20.31)
+    timeout = _source_timeout.SourceTimeout()
+    timeout.ask(0.0)
+    timeout.learn(1, 20.0)
+    assert not timeout.gives_up(20.29)
+    assert timeout.gives_up(20.31)
 
 
 def test_source_that_is_behind_itself_is_waited_for_longer():
-    patience = behind()
-    patience.expect(knows_more=False)
-    assert not patience.gives_up(0.8)
-    assert patience.gives_up(0.91)
+    timeout = behind()
+    timeout.expect(knows_more=False)
+    assert not timeout.gives_up(0.8)
+    assert timeout.gives_up(0.91)
 
 
 def test_no_question_is_not_given_up():
-    patience = behind()
-    patience.stop()
-    assert not patience.gives_up(1000.0)
+    timeout = behind()
+    timeout.stop()
+    assert not timeout.gives_up(1000.0)
 
 
 @pytest.mark.parametrize(
@@ -79,5 +79,5 @@
 
 
 def test_slow_answer_matters_only_while_others_know_more():
-    patience = _source_timeout.Patience()
-    assert not patience.is_slow(arriving(1000, 100_000), LINK, 10.0)
+    timeout = _source_timeout.SourceTimeout()
+    assert not timeout.is_slow(arriving(1000, 100_000), LINK, 10.0)
--- a/boragegw/platform/_store.py
+++ b/boragegw/platform/_store.py
@@ -80,7 +80,7 @@
             records += [_record(item) for item in page.items]
             if not page.has_more or not page.items:
                 in_one_page = not after
-                return gateway.Reading(records, position, consistent=in_one_page)
+                return gateway.ReadResult(records, position, consistent=in_one_page)
             after = page.items[-1].key
 
     async def _page(self, path, tries):
@@ -96,7 +96,7 @@
         """Return the changes after the position ``after``."""
         path = f"/v1/kv-watch?prefix=&after={after}&wait_ms={int(wait * 1000)}"
         changes = await self._get(path, self._events, wait + ANSWER_TIMEOUT)
-        return gateway.Reading(
+        return gateway.ReadResult(
             [_record(item) for item in changes.events], changes.as_of
         )
 
--- a/boragegw/platform/tests/test_delayed_reports.py
+++ b/boragegw/platform/tests/test_delayed_reports.py
@@ -186,12 +186,12 @@
     source = test_catalogue.catalogue(
         _documents.DocumentDecoder(test_catalogue.Lines())
     )
-    source.adopt_snapshot(gateway.Reading([record(7, "ready", 1)], 1))
+    source.adopt_snapshot(gateway.ReadResult([record(7, "ready", 1)], 1))
     if in_trouble:
         source.trouble_at = source.now()
-    source.adopt_changes(gateway.Reading([gateway.Record(KEY, None, 2)], 2))
+    source.adopt_changes(gateway.ReadResult([gateway.Record(KEY, None, 2)], 2))
     assert (KEY in source.board.servers) == in_trouble
     assert source.adopt_retained([record(9, "draining", 3, retained=True)]) == 1
-    source.adopt_changes(gateway.Reading([record(8, "ready", 3)], 3))
+    source.adopt_changes(gateway.ReadResult([record(8, "ready", 3)], 3))
     assert source.board.servers[KEY].listing.draining
     assert [r.retained for r in source.snapshot().records] == [True]
--- a/boragegw/platform/tests/test_slow_sources.py
+++ b/boragegw/platform/tests/test_slow_sources.py
@@ -122,7 +122,7 @@
 
         async def read_all(self):
             position = follower.catalogue.position - 1
-            return gateway.Reading([], position)
+            return gateway.ReadResult([], position)
 
     with pytest.raises(gateway.SourceError, match="knows less"):
         await follower._reread("other", Behind())
@@ -136,8 +136,8 @@
     before = pair.counters["sources.bytes"]
     later = test_replication.large() + b"x"
     record = gateway.Record(test_replication.KEY, later, 9)
-    pair.source.adopt_snapshot(gateway.Reading([record], 8))
-    pair.source.adopt_changes(gateway.Reading([record], 9))
+    pair.source.adopt_snapshot(gateway.ReadResult([record], 8))
+    pair.source.adopt_changes(gateway.ReadResult([record], 9))
     await pair.follow()
     assert pair.follower.record(test_replication.KEY).value == later
     used = pair.counters["sources.bytes"] - before
@@ -245,9 +245,9 @@
 async def test_follower_that_comes_back_to_a_source_need_not_read_all_anew():
     """It was told under the present number; another object for the address forgot."""
     pair = await test_replication.Pair().start(test_replication.large())
-    pair.source.adopt_changes(gateway.Reading([], 5))
+    pair.source.adopt_changes(gateway.ReadResult([], 5))
     missed = gateway.Record(test_replication.KEY, test_replication.large(2), 4)
-    pair.source.adopt_snapshot(gateway.Reading([missed], 5))
+    pair.source.adopt_snapshot(gateway.ReadResult([missed], 5))
     pair.follower.adopt_snapshot(await pair.client.read_all())
     await pair.follow()
     again = gateway.PeerSource(
--- a/boragegw/platform/tests/test_sources.py
+++ b/boragegw/platform/tests/test_sources.py
@@ -41,7 +41,7 @@
 def read_in_pages(record_revision, position, value=b"x" * 100):
     """Return a full reading of which a later page shows a later change."""
     record = gateway.Record(test_replication.KEY, value, record_revision)
-    return gateway.Reading([record], position)
+    return gateway.ReadResult([record], position)
 
 
 @in_memory
@@ -112,7 +112,7 @@
 async def test_full_answer_is_prepared_anew_when_a_reading_shows_what_was_missed():
     """Answers are kept by position, and such a reading leaves the position as it is."""
     pair = await test_replication.Pair().start(b"first")
-    reading = gateway.Reading(
+    reading = gateway.ReadResult(
         [
             gateway.Record(test_replication.KEY, b"first", 1),
             gateway.Record("gone", b"x", 2),
@@ -121,7 +121,7 @@
     )
     pair.source.adopt_snapshot(reading)
     await pair.client.read_all()
-    missed = gateway.Reading([gateway.Record(test_replication.KEY, b"other", 4)], 5)
+    missed = gateway.ReadResult([gateway.Record(test_replication.KEY, b"other", 4)], 5)
     pair.source.adopt_snapshot(missed)
     found = await pair.client.read_all()
     assert {r.key: r.value for r in found.records} == {test_replication.KEY: b"other"}
@@ -130,9 +130,9 @@
 @in_memory
 async def test_missed_change_sends_followers_to_read_anew_also_if_asked_before():
     pair = await test_replication.Pair().start(b"first")
-    pair.source.adopt_changes(gateway.Reading([], 5))
+    pair.source.adopt_changes(gateway.ReadResult([], 5))
     await pair.client.watch(3, 0.0)
-    missed = gateway.Reading([gateway.Record(test_replication.KEY, b"other", 4)], 5)
+    missed = gateway.ReadResult([gateway.Record(test_replication.KEY, b"other", 4)], 5)
     pair.source.adopt_snapshot(missed)
     with pytest.raises(gateway.HistoryLostError):
         await pair.client.watch(3, 0.0)
@@ -142,10 +142,10 @@
 async def test_missed_change_reaches_followers_that_share_the_position():
     """They are at the position of the reading, and not before it."""
     pair = await test_replication.Pair().start(b"first")
-    pair.source.adopt_changes(gateway.Reading([], 5))
+    pair.source.adopt_changes(gateway.ReadResult([], 5))
     await pair.follow()
     assert pair.follower.position == 5
-    missed = gateway.Reading([gateway.Record(test_replication.KEY, b"other", 4)], 5)
+    missed = gateway.ReadResult([gateway.Record(test_replication.KEY, b"other", 4)], 5)
     pair.source.adopt_snapshot(missed)
     try:
         await pair.follow()
@@ -337,8 +337,8 @@
 def test_prepared_answers_are_kept_while_as_many_ask_as_are_kept(monkeypatch):
     made = []
     source = test_catalogue.catalogue()
-    source.adopt_snapshot(gateway.Reading([gateway.Record("a", b"{}", 1)], 1))
-    source.adopt_changes(gateway.Reading([], 100))
+    source.adopt_snapshot(gateway.ReadResult([gateway.Record("a", b"{}", 1)], 1))
+    source.adopt_changes(gateway.ReadResult([], 100))
     server = gateway.ReplicaServer(source, now=lambda: 0.0)
     make = server._make
     monkeypatch.setattr(server, "_make", lambda *a: made.append(a) or make(*a))
