--- a/boragegw/balancing/_ranks.py
+++ b/boragegw/balancing/_priorities.py
@@ -8,7 +8,7 @@
 MIX_HALF_LIFE = 5.0
 
 
-class RankMix(utils.Parameterized):
+class PriorityDistribution(utils.Parameterized):
     """Learns which ranks a service's requests have.
 
     A rank is urgent only in relation to what is really asked for: a configuration may
@@ -47,7 +47,7 @@
         self._updated_at = now
 
 
-class WaitingLine:
+class WaitingCounts:
     """Requests of a process that wait for room at a service, by rank."""
 
     def __init__(self):
@@ -61,6 +61,6 @@
         """Count one less."""
         self._waiting[priority] -= 1
 
-    def is_first(self, priority):
+    def is_most_urgent(self, priority):
         """Return whether nobody more urgent waits."""
         return not any(n > 0 for rank, n in self._waiting.items() if rank < priority)
--- a/boragegw/balancing/_routing.py
+++ b/boragegw/balancing/_routing.py
@@ -35,8 +35,8 @@
     :param target_latency: seconds within which an answer is worth most.
     :param priority: rank among the requests of a service; 0 is the most urgent.
     :param max_attempts: most backend servers on which one request may run.
-    :param parts: the services that share the requests, by weight; none if they are
-        not known, and requests are then refused.
+    :param weighted_services: the services that share the requests, by weight. Empty if
+        they are not known; requests are then refused.
     """
 
     name: str
@@ -47,7 +47,7 @@
     target_latency: float
     priority: int
     max_attempts: int
-    parts: tuple
+    weighted_services: tuple
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -98,7 +98,7 @@
         :param host: value of the Host header.
         :param path: path without a query.
         """
-        routes = self._by_host.get(bare_host(host))
+        routes = self._by_host.get(normalize_host(host))
         if routes is None:
             return None
         end = len(path)
@@ -112,7 +112,7 @@
         return None
 
 
-def bare_host(host):
+def normalize_host(host):
     """Return ``host`` in lower case without its port."""
     name, colon, port = host.rpartition(":")
     if colon and port.isdigit():
@@ -120,7 +120,7 @@
     return host.strip().lower()
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """Takes the parts of a split route in turn, in proportion to their weights.
 
     Smooth weighted round robin keeps each process within one request of the weights,
--- a/boragegw/balancing/_servers.py
+++ b/boragegw/balancing/_servers.py
@@ -11,7 +11,7 @@
 PRIOR_REQUESTS = 2.0
 #: Multiple of its usual time from which a server counts as slow. Servers that share
 #: their machines were seen at 1 or 5.
-SLOW = 2.5
+SLOWNESS_THRESHOLD = 2.5
 #: Seconds after which a slow report counts anew: a server's speed changes each 150 ms.
 SPELL = 0.15
 #: Seconds after which the slow spell of a server that reports no load counts as over.
@@ -61,7 +61,7 @@
     received_at: float
 
 
-class FailureShare:
+class FailureRate:
     """Share of recent requests that failed, forgotten with a half-life."""
 
     __slots__ = ("_failed", "_total", "_updated_at")
@@ -78,7 +78,7 @@
         if failed:
             self._failed += 1.0
 
-    def share(self, now):
+    def rate(self, now):
         """Return the share of failures, between 0 and 1."""
         if self._failed < 0.05:
             return 0.0
@@ -104,12 +104,13 @@
         the usual time.
     :param slowness_at: when that was; monotonic seconds.
     :param cold_until: monotonic seconds until which it is cold.
-    :param unwell_until: its health check fails; monotonic seconds.
+    :param unhealthy_until: its health check fails; monotonic seconds.
     :param moved: its address answered as another server.
     :param removed: it is no longer listed.
     :param slow_reports: reports in a row, :data:`SPELL` apart, that it is slow.
     :param slow_counted_at: when the last of them was counted; monotonic seconds.
-    :param tried_first: it has joined, and this process is to try it before the others.
+    :param preferred_as_new: it has just joined, and this process probes it before the
+        others.
     """
 
     listing: Listing
@@ -118,14 +119,14 @@
     last_slowness: float = 1.0
     slowness_at: float = -math.inf
     cold_until: float = -math.inf
-    unwell_until: float = -math.inf
+    unhealthy_until: float = -math.inf
     unreachable_until: float = -math.inf
     moved: bool = False
     removed: bool = False
     slow_reports: int = 0
     slow_counted_at: float = -math.inf
-    tried_first: bool = False
-    failures: FailureShare = dataclasses.field(default_factory=FailureShare)
+    preferred_as_new: bool = False
+    failures: FailureRate = dataclasses.field(default_factory=FailureRate)
 
     def __post_init__(self):
         """Take the pace from a report that is given at once."""
@@ -147,7 +148,7 @@
         """Whether it must get no new work, whatever its load."""
         return self.removed or self.moved or self.listing.draining
 
-    def in_slow_spell(self, now, lasting_after):
+    def in_transient_slowdown(self, now, lasting_after):
         """Whether it is slow and will probably not stay so.
 
         :param lasting_after: slow reports in a row that show more than a spell.
@@ -175,7 +176,7 @@
         """Take how long work takes there now, as a multiple of the usual time."""
         self.last_slowness = slowness
         self.slowness_at = now
-        if slowness < SLOW:
+        if slowness < SLOWNESS_THRESHOLD:
             self.slow_reports = 0
         elif now - self.slow_counted_at >= SPELL:
             self.slow_reports += 1
--- a/boragegw/blackboard/_request_history.py
+++ b/boragegw/blackboard/_request_history.py
@@ -6,7 +6,7 @@
 
 @dataclasses.dataclass(slots=True)
 class AttemptRecord:
-    """One attempt: its backend server, the reason for it, and its outcome."""
+    """One attempt: where it went, why, and how it ended."""
 
     attempt_id: str
     backend: str
@@ -35,7 +35,7 @@
 class RequestHistory:
     """The latest requests by id.
 
-    :param capacity: most requests kept; the oldest is evicted first.
+    :param capacity: requests remembered; the oldest goes first.
     """
 
     def __init__(self, capacity=2000):
--- a/boragegw/controllers/_configuration.py
+++ b/boragegw/controllers/_configuration.py
@@ -238,7 +238,7 @@
         if (newer or newer_vms) and not self._fetching_from_peer:
             self._fetching_from_peer = True
             self.tasks.start(
-                self._try_fetch_from_peer(member.peer_address), "learn configuration"
+                self._try_fetch_from_peer(member.peer_address), "fetch configuration"
             )
 
     async def _try_fetch_from_peer(self, address):
--- a/boragegw/controllers/_gossip.py
+++ b/boragegw/controllers/_gossip.py
@@ -141,14 +141,16 @@
                 self.network.send(member.peer_address, digest)
 
     def broadcast_temperature(self, service, backend):
-        """Send a changed temperature to the live peers at once."""
+        """Send a changed temperature to the live peers at once, at most 64 of them."""
         digest = peers.LoadDigest(
             service.settings.name, [], [self._temperature(backend)]
         )
         self._broadcast(digest)
 
     def broadcast_quarantine(self, fingerprint, remaining):
-        """Send the quarantine of a request that crashes backend servers.
+        """Send the quarantine of a request to at most 64 live peers at once.
+
+        A request that crashes backend servers is quarantined.
 
         :param fingerprint: fingerprint of the request.
         :param remaining: seconds until the quarantine ends.
--- a/boragegw/gateway/_fetch.py
+++ b/boragegw/gateway/_fetch.py
@@ -3,7 +3,7 @@
 import asyncio
 import dataclasses
 
-from boragegw.gateway import _knowledge, _upstream
+from boragegw.gateway import _sources, _upstream
 
 #: Bytes of one answer that are accepted.
 ANSWER_LIMIT = 16 << 20
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Fetched:
+class FetchedResponse:
     """A whole answer.
 
     :param headers: pairs of bytes, names in lower case.
@@ -44,13 +44,13 @@
         self.now = now
         self.counters = counters
         self.counter = counter
-        self.progress = _knowledge.Progress()
+        self.progress = _sources.Progress()
         self._pool = _upstream.Pool(address, now, CONNECT_TIMEOUT)
 
-    async def get(self, path, patience):
-        """Return the :class:`Fetched` answer to GET ``path``.
+    async def get(self, path, timeout):
+        """Return the :class:`FetchedResponse` answer to GET ``path``.
 
-        :param patience: seconds until the answer has begun.
+        :param timeout: seconds until the answer has begun.
         :raises SourceError: if there is none, or it stops arriving.
         """
         self.counters[self.counter] += 1
@@ -59,14 +59,14 @@
         try:
             connection = await self._pool.acquire(CONNECTIONS)
         except _upstream.ExchangeError as error:
-            raise _knowledge.SourceError(str(error)) from error
+            raise _sources.SourceError(str(error)) from error
         try:
-            async with asyncio.timeout(patience) as limit:
+            async with asyncio.timeout(timeout) as limit:
                 answer = await connection.start(request, lambda answer: True)
                 body = await self._whole_body(answer, limit)
         except (_upstream.ExchangeError, TimeoutError) as error:
             self._give_up(connection)
-            raise _knowledge.SourceError(
+            raise _sources.SourceError(
                 str(error) or "no answer in time", self.progress.received
             ) from error
         except asyncio.CancelledError:
@@ -75,7 +75,7 @@
         finally:
             self.progress.end()
         self._pool.release(connection)
-        return Fetched(answer.status, answer.headers, body)
+        return FetchedResponse(answer.status, answer.headers, body)
 
     def _give_up(self, connection):
         self._pool.discard(connection)
--- a/boragegw/platform/_documents.py
+++ b/boragegw/platform/_documents.py
@@ -75,14 +75,14 @@
         """
         return balancing.Route(
             name=wire.name,
-            host=balancing.bare_host(wire.host),
+            host=balancing.normalize_host(wire.host),
             prefix=wire.prefix,
             kind=self._kind(wire),
             timeout=wire.timeout_s,
             target_latency=wire.target_latency_s,
             priority=wire.priority,
             max_attempts=wire.max_attempts,
-            parts=_parts(wire),
+            weighted_services=_parts(wire),
         )
 
     def _kind(self, wire):
--- a/boragegw/utils/_bounded_dict.py
+++ b/boragegw/utils/_bounded_dict.py
@@ -1,18 +1,18 @@
-"""A dictionary of bounded size."""
+"""A dictionary of limited size."""
 
 
 class BoundedDict(dict):
-    """A dictionary that evicts its oldest entry above its capacity.
+    """A dictionary that evicts its oldest entry above its limit.
 
-    :param capacity: most entries kept.
+    :param limit: entries that are kept.
     """
 
-    def __init__(self, capacity):
+    def __init__(self, limit):
         super().__init__()
-        self.capacity = capacity
+        self.limit = limit
 
     def add(self, key, value):
-        """Add an entry as the newest; return the evicted value, or ``None``."""
+        """Add an entry as the latest; return the value that is dropped, or ``None``."""
         self.pop(key, None)
         self[key] = value
-        return self.pop(next(iter(self))) if len(self) > self.capacity else None
+        return self.pop(next(iter(self))) if len(self) > self.limit else None
