--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -20,7 +20,7 @@
     name: str
     document: dict
     placement: abc.Callable
-    limits: abc.Callable = decisions.LimitPolicy
+    limits: abc.Callable = decisions.ConcurrencyLimitPolicy
     hedging: abc.Callable = decisions.HedgePolicy
     digest_interval: float = 0.2
     entries: int = ALL_ENTRIES
@@ -53,7 +53,7 @@
 
 def ours(name="boragegw", hedge_budget=0.05, subset_size=3, factor=1.0, **params):
     """Return the product's configuration, with changes."""
-    limits = params.pop("limits", decisions.LimitPolicy)
+    limits = params.pop("limits", decisions.ConcurrencyLimitPolicy)
     hedging = params.pop("hedging", decisions.HedgePolicy)
     digest_interval = params.pop("digest_interval", 0.2)
     document = {
@@ -74,7 +74,7 @@
 ORACLE = Contender(
     "oracle",
     {"subset_size": 1, "in_flight_factor": 1.0, "hedge_budget": 0.0},
-    lambda index, load: decisions.ExactKnowledge(load),
+    lambda index, load: decisions.OracleLeastLoaded(load),
     entries=1,
 )
 BASELINES = (
--- a/boragegw/controllers/_configuration.py
+++ b/boragegw/controllers/_configuration.py
@@ -160,7 +160,7 @@
 
     async def _watch_once(self):
         await self._take_read()
-        timeout = min(self.watch_timeout, self.readers.patience / 2)
+        timeout = min(self.watch_timeout, self.readers.confirmation_timeout / 2)
         revision = self.board.configuration.revision
         await self.take_head(await self.source.watch_head(revision, timeout))
 
--- a/boragegw/controllers/_dispatcher.py
+++ b/boragegw/controllers/_dispatcher.py
@@ -19,7 +19,7 @@
         self.clock = clock
         self.random_state = random_state
         self.placement = placement
-        self.limits = limits or decisions.LimitPolicy()
+        self.limits = limits or decisions.ConcurrencyLimitPolicy()
         self.queue = queue or decisions.QueuePolicy()
 
     def try_acquire(self, service, excluded=frozenset()):
@@ -43,7 +43,7 @@
             if backend is not None:
                 return backend
         self._refuse_without_backend(service)
-        waiter = decisions.Waiter(
+        waiter = decisions.QueuedRequest(
             harm,
             deadline,
             self.clock.now(),
@@ -150,11 +150,11 @@
         for victim in victims:
             self.board.counters["requests.shed"] += 1
             if not victim.future.done():
-                victim.future.set_exception(self.queue.refusal(service))
+                victim.future.set_exception(self.queue.overload_error(service))
 
     def _expire(self, service):
         """End the waits whose deadline has passed, each with its final answer."""
-        for waiter in self.queue.expired(service, self.clock.now()):
+        for waiter in self.queue.remove_expired(service, self.clock.now()):
             self.board.counters["requests.expired_in_queue"] += 1
             if not waiter.future.done():
                 waiter.future.set_exception(
--- a/boragegw/controllers/_membership.py
+++ b/boragegw/controllers/_membership.py
@@ -99,7 +99,7 @@
             self._merge(member, now, age)
         for beat in heartbeat.beats:
             if beat.incarnation != self.board.identity.incarnation:
-                self.policy.merge_beat(
+                self.policy.merge_heartbeat_counter(
                     self.board.membership, beat.incarnation, beat.beat, now, beat.age
                 )
         self._merge(heartbeat.sender, now, 0.0)
--- a/boragegw/decisions/_admission.py
+++ b/boragegw/decisions/_admission.py
@@ -3,7 +3,7 @@
 from boragegw import blackboard, utils
 
 
-class LimitPolicy(utils.Parameterized):
+class ConcurrencyLimitPolicy(utils.Parameterized):
     """Limits requests in flight on a backend server.
 
     :param extra: places behind the slots of a warm backend server, so that it does
@@ -25,7 +25,7 @@
         self.horizon = horizon
         self.peer_weight = peer_weight
 
-    def places(self, backend, settings, now):
+    def free_places(self, backend, settings, now):
         """Return how many more requests this entry may send to ``backend``."""
         self._check_params()
         if backend.phase is blackboard.Phase.COLD:
@@ -68,10 +68,10 @@
 def admissible(service, limits, now, excluded=()):
     """Yield the backend servers of ``service`` with a place for one more request.
 
-    :param limits: a :class:`LimitPolicy`.
+    :param limits: a :class:`ConcurrencyLimitPolicy`.
     :param excluded: names that an earlier attempt of the request has tried.
     """
     usable = [b for b in service.backends.values() if is_admissible(b)]
     trusted = _trusted(usable, now)
     fresh = (b for b in trusted if b.name not in excluded)
-    return (b for b in fresh if limits.places(b, service.settings, now) >= 1.0)
+    return (b for b in fresh if limits.free_places(b, service.settings, now) >= 1.0)
--- a/boragegw/decisions/_hedging.py
+++ b/boragegw/decisions/_hedging.py
@@ -7,7 +7,7 @@
     """Decides when an idempotent request is hedged.
 
     :param quantile: the delay is this quantile of recent latencies.
-    :param least_delay: shortest delay in seconds.
+    :param min_delay: shortest delay in seconds.
     :param refresh: answers between two computations of the quantile.
     :param utilization_limit: above this share of places in use nothing is hedged;
         the second attempt would take the place of another request.
@@ -15,16 +15,16 @@
 
     _parameter_constraints = {
         "quantile": utils.Interval(float, 0.5, 1),
-        "least_delay": utils.Interval(float, 0, 60),
+        "min_delay": utils.Interval(float, 0, 60),
         "refresh": utils.Interval(int, 1, 10_000),
         "utilization_limit": utils.Interval(float, 0, 1),
     }
 
     def __init__(
-        self, quantile=0.95, least_delay=0.01, refresh=32, utilization_limit=0.8
+        self, quantile=0.95, min_delay=0.01, refresh=32, utilization_limit=0.8
     ):
         self.quantile = quantile
-        self.least_delay = least_delay
+        self.min_delay = min_delay
         self.refresh = refresh
         self.utilization_limit = utilization_limit
         self._delays = {}
@@ -45,7 +45,7 @@
         count, delay = self._delays.get(service.settings.name, (0, None))
         if count < self.refresh or service.settings.hedge_budget <= 0:
             return None
-        return max(self.least_delay, delay)
+        return max(self.min_delay, delay)
 
     def permits(self, service, now):
         """Return whether a hedge may be sent now, and take a token if so."""
--- a/boragegw/decisions/_membership.py
+++ b/boragegw/decisions/_membership.py
@@ -6,17 +6,17 @@
 class MembershipPolicy(utils.Parameterized):
     """Merges heartbeats and forgets the silent.
 
-    :param forget: seconds of silence after which a peer is forgotten.
+    :param forget_after: seconds of silence after which a peer is forgotten.
     :param capacity: most peers remembered; a cap for every table.
     """
 
     _parameter_constraints = {
-        "forget": utils.Interval(float, 1, 86_400),
+        "forget_after": utils.Interval(float, 1, 86_400),
         "capacity": utils.Interval(int, 1, 100_000),
     }
 
-    def __init__(self, forget=600.0, capacity=2000):
-        self.forget = forget
+    def __init__(self, forget_after=600.0, capacity=2000):
+        self.forget_after = forget_after
         self.capacity = capacity
 
     def merge(self, section, incoming, now, age=0.0):
@@ -45,7 +45,7 @@
         section.members[incoming.incarnation] = incoming
         return True
 
-    def merge_beat(self, section, incarnation, beat, now, age):
+    def merge_heartbeat_counter(self, section, incarnation, beat, now, age):
         """Take in a bare beat; return False if the member is not known."""
         known = section.members.get(incarnation)
         if known is None:
@@ -67,7 +67,7 @@
     def sweep(self, section, now):
         """Forget members that have been silent for long."""
         for incarnation, member in list(section.members.items()):
-            if now - member.heard_at > self.forget:
+            if now - member.heard_at > self.forget_after:
                 del section.members[incarnation]
 
     def live_entries(self, board, now):
--- a/boragegw/decisions/_outlier_detection.py
+++ b/boragegw/decisions/_outlier_detection.py
@@ -3,14 +3,14 @@
 from boragegw import utils
 
 
-class SlowdownPolicy(utils.Parameterized):
+class OutlierDetectionPolicy(utils.Parameterized):
     """Learns latencies; ejects on failures in a row.
 
     :param smoothing: weight of a new latency in the running mean.
     :param failures: consecutive failures after which a backend server is ejected.
     :param ejection: first ejection in seconds; doubled with each further failure.
     :param ejection_limit: longest ejection in seconds.
-    :param refusal_pause: seconds of demotion after a backend server sheds a request.
+    :param refusal_demotion: seconds of demotion after a backend server sheds a request.
     """
 
     _parameter_constraints = {
@@ -18,7 +18,7 @@
         "failures": utils.Interval(int, 1, 100),
         "ejection": utils.Interval(float, 0, 60),
         "ejection_limit": utils.Interval(float, 0, 600),
-        "refusal_pause": utils.Interval(float, 0, 10),
+        "refusal_demotion": utils.Interval(float, 0, 10),
     }
 
     def __init__(
@@ -27,13 +27,13 @@
         failures=2,
         ejection=0.25,
         ejection_limit=8.0,
-        refusal_pause=0.02,
+        refusal_demotion=0.02,
     ):
         self.smoothing = smoothing
         self.failures = failures
         self.ejection = ejection
         self.ejection_limit = ejection_limit
-        self.refusal_pause = refusal_pause
+        self.refusal_demotion = refusal_demotion
 
     def observe_success(self, backend, service, latency):
         """Learn the time to an answer's head."""
@@ -60,7 +60,7 @@
     def observe_refusal(self, backend, now):
         """Demote for a moment a backend server that sheds load."""
         self._check_params()
-        backend.demoted_until = max(backend.demoted_until, now + self.refusal_pause)
+        backend.demoted_until = max(backend.demoted_until, now + self.refusal_demotion)
 
     @staticmethod
     def _smoothed(mean, value, weight):
--- a/boragegw/decisions/_placement.py
+++ b/boragegw/decisions/_placement.py
@@ -84,7 +84,7 @@
         )
 
 
-class ExactKnowledge(PlacementPolicy):
+class OracleLeastLoaded(PlacementPolicy):
     """The limit: fewest requests in truth, which only a benchmark can know.
 
     :param true_load: function from a backend server's name to its load.
--- a/boragegw/decisions/_queueing.py
+++ b/boragegw/decisions/_queueing.py
@@ -6,7 +6,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Waiter:
+class QueuedRequest:
     """A request that waits for a backend server.
 
     :param harm: rank of the harm of losing it; 0 is the least.
@@ -73,14 +73,14 @@
                 victim = waiter
         return victim
 
-    def expired(self, service, now):
+    def remove_expired(self, service, now):
         """Remove and return the waiters whose deadline has passed."""
         late = [waiter for waiter in service.waiting if waiter.deadline <= now]
         for waiter in late:
             service.waiting.remove(waiter)
         return late
 
-    def refusal(self, service):
+    def overload_error(self, service):
         """Return the error for a waiter that is shed; it has not run."""
         wait = max(self.retry_after, self.expected_wait(service))
         return errors.RequestError.not_run(
--- a/boragegw/decisions/_readers.py
+++ b/boragegw/decisions/_readers.py
@@ -7,17 +7,18 @@
     """Chooses readers, so that reads grow with data centres and not with the fleet.
 
     :param readers: entries of each data centre that watch the platform.
-    :param patience: seconds without a confirmation after which any entry reads.
+    :param confirmation_timeout: seconds without a confirmation after which any entry
+        reads the platform.
     """
 
     _parameter_constraints = {
         "readers": utils.Interval(int, 1, 100),
-        "patience": utils.Interval(float, 0.1, 60),
+        "confirmation_timeout": utils.Interval(float, 0.1, 60),
     }
 
-    def __init__(self, readers=2, patience=2.0):
+    def __init__(self, readers=2, confirmation_timeout=2.0):
         self.readers = readers
-        self.patience = patience
+        self.confirmation_timeout = confirmation_timeout
 
     def is_reader(self, identity, members):
         """Return whether this entry watches the platform.
@@ -37,4 +38,4 @@
         Guards against readers that have died or are cut off: confirmations stop, and
         a recall would wait for them.
         """
-        return now - confirmed_at > self.patience
+        return now - confirmed_at > self.confirmation_timeout
--- a/boragegw/decisions/_retries.py
+++ b/boragegw/decisions/_retries.py
@@ -7,43 +7,53 @@
     """Permits a further attempt by verdict, idempotency, budget and time.
 
     :param attempts: most attempts of one request in this entry.
-    :param least_time: seconds that must remain to the deadline.
+    :param min_remaining_time: seconds that must remain to the deadline.
     """
 
     _parameter_constraints = {
         "attempts": utils.Interval(int, 1, 10),
-        "least_time": utils.Interval(float, 0, 60),
+        "min_remaining_time": utils.Interval(float, 0, 60),
     }
 
-    def __init__(self, attempts=3, least_time=0.005):
+    def __init__(self, attempts=3, min_remaining_time=0.005):
         self.attempts = attempts
-        self.least_time = least_time
+        self.min_remaining_time = min_remaining_time
 
-    def earn(self, service):
+    def credit(self, service):
         """Credit the service's budgets for one new request."""
         settings = service.settings
         service.retry_budget.add(settings.retry_budget)
         service.hedge_budget.add(settings.hedge_budget)
         service.probe_budget.add(settings.probe_budget)
 
-    def permits(self, service, *, verdict, idempotent, made, left, deadline, now):
+    def permits(
+        self,
+        service,
+        *,
+        verdict,
+        idempotent,
+        attempts_made,
+        retries_left,
+        deadline,
+        now,
+    ):
         """Return whether to try again, and take a token if so.
 
         Guards against a retry storm: while all attempts fail, each layer of a call up
         to 15 deep would multiply the attempts. The budget bounds this entry's retries
-        to a share of its requests, and ``left`` (which callers pass on and each retry
-        sets to zero for the layers below) bounds them along the depth.
+        to a share of its requests. ``retries_left`` bounds them along the depth:
+        callers pass it on, and each retry sets it to zero for the layers below.
 
         :param verdict: of the failed attempt.
-        :param made: attempts made.
-        :param left: retries that the caller's layer still allows.
+        :param attempts_made: attempts of the request so far in this entry.
+        :param retries_left: retries that the caller's layer still allows.
         :param deadline: monotonic seconds.
         """
         self._check_params()
         if not (idempotent or verdict.permits_second_attempt):
             return False
-        if made >= self.attempts or left < 1:
+        if attempts_made >= self.attempts or retries_left < 1:
             return False
-        if deadline - now < self.least_time:
+        if deadline - now < self.min_remaining_time:
             return False
         return service.retry_budget.take(now)
--- a/boragegw/decisions/_slow_start.py
+++ b/boragegw/decisions/_slow_start.py
@@ -7,7 +7,7 @@
 from boragegw import blackboard, utils
 
 
-class RampPolicy(utils.Parameterized):
+class SlowStartPolicy(utils.Parameterized):
     """Turns backend servers cold on evidence and warms them on success.
 
     :param growth: factor on the allowance for each answer in time.
--- a/boragegw/decisions/tests/test_admission.py
+++ b/boragegw/decisions/tests/test_admission.py
@@ -13,7 +13,9 @@
 
 
 def names(service, now=0.0, excluded=()):
-    found = decisions.admissible(service, decisions.LimitPolicy(), now, excluded)
+    found = decisions.admissible(
+        service, decisions.ConcurrencyLimitPolicy(), now, excluded
+    )
     return sorted(backend.name for backend in found)
 
 
@@ -67,7 +69,7 @@
 
     With nothing in flight it looks like the least loaded server.
     """
-    policy = decisions.SlowdownPolicy()
+    policy = decisions.OutlierDetectionPolicy()
     backend = make_backend("b")
     policy.observe_failure(backend, 0.0)
     assert backend.ejected_until <= 0.0 < backend.demoted_until
--- a/boragegw/decisions/tests/test_slow_start.py
+++ b/boragegw/decisions/tests/test_slow_start.py
@@ -11,7 +11,7 @@
     defaults = {"warm_up": 10.0, "cold_in_flight": 1, **settings}
     service = test_admission.make_service([backend], **defaults)
     service.latency = 0.01
-    return decisions.RampPolicy(), backend, service
+    return decisions.SlowStartPolicy(), backend, service
 
 
 def report(cold=False, incarnation="one"):
--- a/boragegw/entry/_executor.py
+++ b/boragegw/entry/_executor.py
@@ -83,7 +83,7 @@
         :param note: the request's :class:`~boragegw.blackboard.RequestNote`.
         :raises RequestError: with the verdict over all attempts.
         """
-        self.policies.retries.earn(service)
+        self.policies.retries.credit(service)
         await request.body.prefetch()
         call = self._call(request, service, idempotent, note)
         self._refuse_quarantined(call)
@@ -353,8 +353,8 @@
             call.service,
             verdict=verdict,
             idempotent=call.idempotent,
-            made=call.made,
-            left=call.request.retries_left,
+            attempts_made=call.made,
+            retries_left=call.request.retries_left,
             deadline=call.request.deadline,
             now=self.clock.now(),
         )
--- a/boragegw/entry/tests/test_history.py
+++ b/boragegw/entry/tests/test_history.py
@@ -103,9 +103,11 @@
     return self.executor.execute(request, service, False, note)
 
 
-def _retry_always(self, service, *, verdict, idempotent, made, left, deadline, now):
+def _retry_always(
+    self, service, *, verdict, idempotent, attempts_made, retries_left, deadline, now
+):
     """Defect: a non-idempotent request is retried although it may have run."""
-    return made < 3 and deadline > now
+    return attempts_made < 3 and deadline > now
 
 
 def _call_it_not_run(self, call, error):
--- a/boragegw/peers/tests/test_peer_contract.py
+++ b/boragegw/peers/tests/test_peer_contract.py
@@ -148,14 +148,18 @@
         self.policy.merge(section, member(), 0.0)
         for moment in (1.0, 2.0, 3.5):
             self.policy.merge(section, member(), moment)
-            self.policy.merge_beat(section, member().incarnation, 7, moment, 0.0)
+            self.policy.merge_heartbeat_counter(
+                section, member().incarnation, 7, moment, 0.0
+            )
         assert list(section.alive(3.5)) == []
 
     def test_a_new_beat_heals_a_false_suspicion(self):
         section = blackboard.MembershipSection()
         self.policy.merge(section, member(), 0.0)
         assert list(section.alive(5.0)) == []
-        assert self.policy.merge_beat(section, member().incarnation, 8, 5.0, 0.1)
+        assert self.policy.merge_heartbeat_counter(
+            section, member().incarnation, 8, 5.0, 0.1
+        )
         assert [m.beat for m in section.alive(5.0)] == [8]
 
     def test_a_new_incarnation_retires_the_one_before(self):
@@ -166,7 +170,7 @@
         assert [m.incarnation for m in section.serving(0.5)] == [9]
 
     def test_the_table_has_a_cap(self):
-        policy = decisions.MembershipPolicy(capacity=3, forget=10.0)
+        policy = decisions.MembershipPolicy(capacity=3, forget_after=10.0)
         section = blackboard.MembershipSection()
         for number in range(5):
             row = member(incarnation=number, peer_address=f"10.0.0.1:{number}")
--- a/boragegw/server/_node.py
+++ b/boragegw/server/_node.py
@@ -103,7 +103,7 @@
     def _build_controllers(self, configuration_source, fleet_source):
         parameters = self.parameters
         membership_policy = decisions.MembershipPolicy()
-        ramp = decisions.RampPolicy()
+        ramp = decisions.SlowStartPolicy()
         self.hedging = parameters.hedging or decisions.HedgePolicy()
         self.dispatcher = controllers.Dispatcher(
             self.board,
@@ -127,7 +127,7 @@
             self.transport,
             self.dispatcher,
             ramp,
-            decisions.SlowdownPolicy(),
+            decisions.OutlierDetectionPolicy(),
             self.hedging,
             self.tasks,
             self.sleep,
