--- a/boragegw/balancing/__init__.py
+++ b/boragegw/balancing/__init__.py
@@ -1,4 +1,7 @@
-"""Decisions of the gateway: pure, without input or output, light to import."""
+"""Load balancing policies of the gateway: routing, probing, admission and retries.
+
+The classes do no input or output. Time and randomness are arguments.
+"""
 
 from boragegw.balancing._budgets import ProbeBudget, RetryBudget, SlidingWindowCounter
 from boragegw.balancing._hedging import LatencyHedgePolicy
--- a/boragegw/balancing/_budgets.py
+++ b/boragegw/balancing/_budgets.py
@@ -1,4 +1,4 @@
-"""The fleet's budget of repeated requests, divided among its processes."""
+"""Budgets of probes, retries and hedges: fleet-wide limits divided among processes."""
 
 import collections
 
@@ -6,48 +6,49 @@
 
 
 class SlidingWindowCounter:
-    """Events of the last ``window`` seconds, counted in steps of a twentieth."""
+    """Counts the events of the last ``window`` seconds in buckets of equal width."""
 
-    STEPS = 20
+    BUCKETS = 20
 
     def __init__(self, window):
-        self._width = window / self.STEPS
-        self._steps = collections.deque()
+        self._bucket_seconds = window / self.BUCKETS
+        self._buckets = collections.deque()
         self._sum = 0
 
     def add(self, now):
         """Count one event."""
-        step = int(now / self._width)
-        if self._steps and self._steps[-1][0] == step:
-            self._steps[-1][1] += 1
+        bucket = int(now / self._bucket_seconds)
+        if self._buckets and self._buckets[-1][0] == bucket:
+            self._buckets[-1][1] += 1
         else:
-            self._steps.append([step, 1])
+            self._buckets.append([bucket, 1])
         self._sum += 1
 
     def remove(self):
-        """Take back the event counted last, if it is still in the window."""
-        if self._steps and self._steps[-1][1] > 0:
-            self._steps[-1][1] -= 1
+        """Remove the event counted last, if the latest bucket is not empty."""
+        if self._buckets and self._buckets[-1][1] > 0:
+            self._buckets[-1][1] -= 1
             self._sum -= 1
 
     def total(self, now):
-        """Return the events of the window."""
-        oldest = int(now / self._width) - self.STEPS
-        while self._steps and self._steps[0][0] < oldest:
-            self._sum -= self._steps.popleft()[1]
+        """Return the number of events in the window."""
+        oldest = int(now / self._bucket_seconds) - self.BUCKETS
+        while self._buckets and self._buckets[0][0] < oldest:
+            self._sum -= self._buckets.popleft()[1]
         return self._sum
 
 
 class ProbeBudget(utils.Parameterized):
-    """Limits the questions to a service's backend servers.
+    """Limits the probes of a service's backend servers.
 
-    Guards against measuring that takes the place of work: a probe takes up to 6 ms of
-    a slot, and while a service is full each request is tempted to ask everybody. The
-    whole fleet may ask a server ``rate`` times a second; each process fills its part.
+    Guards against probes that displace requests. A probe takes up to 6 ms of a slot,
+    and while a service is saturated each request would probe all its servers. The
+    whole fleet may probe a server ``rate`` times a second; each process has an equal
+    part of this.
 
-    :param rate: questions per backend server and second of the whole fleet.
+    :param rate: probes per second and backend server of the whole fleet.
     :param margin: share of the rate that is used.
-    :param burst: seconds of the rate that may be saved up.
+    :param burst: seconds of unused rate that may accumulate.
     """
 
     _parameter_constraints = {
@@ -63,13 +64,13 @@
         self._bucket = utils.TokenBucket(0.0)
 
     def remaining(self, now, servers, processes):
-        """Return how many questions may be asked now; at least one.
+        """Return how many probes may be sent now; at least one.
 
-        A request whose place was not asked could meet a connection that has silently
-        ended, so one question is always allowed.
+        One probe is always allowed: without it, a request could be sent on a
+        connection that has been closed without notice.
 
-        :param servers: backend servers of the service.
-        :param processes: processes that may be alive, this one included.
+        :param servers: number of backend servers of the service.
+        :param processes: number of processes that may be alive, this one included.
         """
         self._check_params()
         bucket = self._bucket
@@ -78,25 +79,25 @@
         bucket.refill(now)
         return max(1, int(bucket.tokens))
 
-    def take(self, questions):
-        """Count ``questions`` that were asked."""
-        self._bucket.tokens = max(0.0, self._bucket.tokens - questions)
+    def take(self, probes):
+        """Spend the budget of ``probes`` that are sent."""
+        self._bucket.tokens = max(0.0, self._bucket.tokens - probes)
 
 
 class RetryBudget(utils.Parameterized):
-    """Permits second sends of a service's requests.
+    """Limits the retries and hedges of a service's requests.
 
-    In any window the whole fleet may repeat ``ratio`` of its requests and ``slack``
-    more. Each process spends the ratio of its own requests and its part of the slack,
-    so no process needs to ask another one. The part is divided by all processes that
-    may be alive, those that have just gone out of sight included: both sides of a
-    network partition would otherwise spend the whole slack.
+    In any window the whole fleet may send ``ratio`` of its requests again, and
+    ``slack`` more. Each process spends the ratio of its own requests and an equal part
+    of the slack, so the processes need no coordination. The slack is divided by all
+    processes that may be alive, including those that have recently become silent.
+    Otherwise both sides of a network partition would spend the whole slack.
 
-    :param ratio: repeats for each request.
-    :param slack: repeats of the fleet in a window besides.
+    :param ratio: retries for each request.
+    :param slack: additional retries of the fleet in a window.
     :param window: seconds.
-    :param margin: share of the budget that is spent; the rest covers requests that
-        callers count into another window than the repeats.
+    :param margin: share of the budget that is spent. The rest covers requests that
+        callers count in another window than their retries.
     """
 
     _parameter_constraints = {
@@ -112,34 +113,34 @@
         self.window = window
         self.margin = margin
         self._requests = SlidingWindowCounter(window)
-        self._repeats = SlidingWindowCounter(window)
+        self._retries = SlidingWindowCounter(window)
 
     def observe_request(self, now):
         """Count a request of the service."""
         self._requests.add(now)
 
     def remaining(self, now, processes):
-        """Return how many repeats are left to this process.
+        """Return how many retries this process may still send.
 
-        :param processes: processes that may be alive, this one included.
+        :param processes: number of processes that may be alive, this one included.
         """
         self._check_params()
-        earned = self.ratio * self._requests.total(now) + self.slack / processes
-        return self.margin * earned - self._repeats.total(now)
+        budget = self.ratio * self._requests.total(now) + self.slack / processes
+        return self.margin * budget - self._retries.total(now)
 
     def take(self, now, processes, reserve=0.0):
-        """Take one repeat and return whether there was one.
+        """Spend one retry; return whether the budget allowed it.
 
-        :param reserve: share of the budget that must be left untouched, so that
-            hedges do not spend what repeats after failures need.
+        :param reserve: share of the budget that must remain, so that hedges do not
+            spend what retries after failures need.
         """
-        left = self.remaining(now, processes)
-        spent = self._repeats.total(now)
-        if left < 1.0 or left - 1.0 < reserve * (left + spent):
+        remaining = self.remaining(now, processes)
+        spent = self._retries.total(now)
+        if remaining < 1.0 or remaining - 1.0 < reserve * (remaining + spent):
             return False
-        self._repeats.add(now)
+        self._retries.add(now)
         return True
 
     def refund(self):
-        """Take back a repeat that was not sent, for want of a place."""
-        self._repeats.remove()
+        """Undo the latest retry, which found no backend server and was not sent."""
+        self._retries.remove()
--- a/boragegw/balancing/_hedging.py
+++ b/boragegw/balancing/_hedging.py
@@ -1,4 +1,4 @@
-"""Hedging by age: when an idempotent request is sent to a second backend server."""
+"""Hedging by latency: when a request is also sent to a second backend server."""
 
 import collections
 
@@ -6,14 +6,14 @@
 
 
 class LatencyHedgePolicy(utils.Parameterized):
-    """Hedges a request that has run longer than most requests of its service do.
+    """Hedges a request that has taken longer than most requests of its service.
 
-    :param quantile: share of recent answers that were faster than the delay.
-    :param samples: answers remembered.
+    :param quantile: quantile of recent latencies from which the delay is computed.
+    :param samples: number of latencies kept.
     :param refresh: answers between two computations of the quantile.
-    :param first_delay: seconds before enough answers are known.
+    :param first_delay: delay in seconds until enough latencies are known.
     :param target_share: the delay is at most this share of the route's target
-        latency, so that the second answer can still come within it.
+        latency, so that the second answer can still arrive within the target.
     """
 
     _parameter_constraints = {
@@ -33,26 +33,29 @@
         self.first_delay = first_delay
         self.target_share = target_share
         self._latencies = collections.deque(maxlen=samples)
-        self._seen = 0
+        self._count = 0
         self._delay = first_delay
         self._median = first_delay / 2
 
     @property
     def median_latency(self):
-        """Median seconds of recent answers."""
+        """Median latency of recent answers in seconds."""
         return self._median
 
     def observe(self, latency):
-        """Learn the time of an answer in seconds."""
+        """Record the latency of an answer in seconds."""
         self._check_params()
         self._latencies.append(latency)
-        self._seen += 1
-        if self._seen < 8 or self._seen % self.refresh:
+        self._count += 1
+        if self._count < 8 or self._count % self.refresh:
             return
         ordered = sorted(self._latencies)
         self._delay = ordered[int(self.quantile * (len(ordered) - 1))]
         self._median = ordered[len(ordered) // 2]
 
     def delay(self, target_latency):
-        """Return seconds after which to hedge."""
+        """Return the seconds after which to hedge.
+
+        :param target_latency: seconds; target of the route.
+        """
         return min(self._delay * 1.1, self.target_share * target_latency)
--- a/boragegw/balancing/_policies.py
+++ b/boragegw/balancing/_policies.py
@@ -1,4 +1,4 @@
-"""Parameters of the policies that operators set, and that switch mechanisms off."""
+"""Policies that operators can configure, and parameters that disable mechanisms."""
 
 from boragegw import utils
 from boragegw.balancing import (
@@ -10,7 +10,7 @@
     _warmup,
 )
 
-#: The policies whose parameters can be set, by the name they have in settings.
+#: Policies with configurable parameters, by their name in the settings.
 POLICIES = {
     "asking": _probing.ProbingPolicy,
     "hedging": _hedging.LatencyHedgePolicy,
@@ -19,7 +19,7 @@
     "shedding": _shedding.SheddingPolicy,
     "warmup": _warmup.WarmupPolicy,
 }
-#: For each mechanism, the parameters that switch it off.
+#: Parameters that disable a mechanism, by policy and name, for each mechanism.
 DISABLING_PARAMETERS = {
     "asking further than the first server": {"asking": {"most": 1}},
     "failures of a server": {"asking": {"failure_cost": 0.0}},
@@ -39,9 +39,9 @@
 
 
 class PolicySettings:
-    """Makes policies with parameters that differ from their defaults.
+    """Creates policies with configured parameters.
 
-    :param parameters: parameters by policy and name, as in
+    :param parameters: values by policy and parameter name, as in the values of
         :data:`DISABLING_PARAMETERS`.
     """
 
@@ -49,7 +49,10 @@
         self.parameters = parameters or {}
 
     def check(self):
-        """Raise :class:`~boragegw.utils.InvalidParameterError` for a bad value."""
+        """Check all parameters.
+
+        :raises ~boragegw.utils.InvalidParameterError: for an invalid value.
+        """
         if not isinstance(self.parameters, dict):
             raise utils.InvalidParameterError(
                 f"policies: {self.parameters!r}, expected an object"
@@ -62,9 +65,10 @@
                 )
             self.make(name)._check_params()
 
-    def make(self, name, **given):
-        """Return a new policy of that name.
+    def make(self, name, **fixed):
+        """Return a new policy of the given name.
 
-        :param given: parameters that are no settings, such as the own data centre.
+        :param fixed: parameters that are not part of the settings, such as the data
+            centre of this process.
         """
-        return POLICIES[name](**given).set_params(**self.parameters.get(name, {}))
+        return POLICIES[name](**fixed).set_params(**self.parameters.get(name, {}))
--- a/boragegw/balancing/_priorities.py
+++ b/boragegw/balancing/_priorities.py
@@ -1,21 +1,22 @@
-"""Ranks of requests while room is short: who is urgent, and who waits behind whom."""
+"""Request priorities under load: which requests are urgent, and which wait first."""
 
 import collections
 
 from boragegw import utils
 
-#: Seconds after which half of what was seen of a service's requests is forgotten.
-MIX_HALF_LIFE = 5.0
+#: Half-life of the request counts in seconds.
+HALF_LIFE_SECONDS = 5.0
 
 
 class PriorityDistribution(utils.Parameterized):
-    """Learns which ranks a service's requests have.
+    """Distribution of the priorities of a service's recent requests.
 
-    A rank is urgent only in relation to what is really asked for: a configuration may
-    hold routes that hardly anybody uses, and next to those all requests would be
-    urgent, or none.
+    Urgency is relative to the requests that actually arrive. A configuration may hold
+    routes that are hardly used; compared with those, all requests or none would be
+    urgent.
 
-    :param least_share: share of the recent requests that must be less urgent.
+    :param least_share: a request is urgent if at least this share of the recent
+        requests has a lower priority.
     """
 
     _parameter_constraints = {"least_share": utils.Interval(float, 0, 1)}
@@ -26,7 +27,7 @@
         self._updated_at = 0.0
 
     def observe(self, priority, now):
-        """Count a request of a rank; 0 is the most urgent."""
+        """Count a request; priority 0 is the most urgent."""
         self._decay(now)
         self._counts[priority] += 1.0
 
@@ -35,32 +36,36 @@
         self._check_params()
         self._decay(now)
         total = sum(self._counts.values())
-        less = sum(count for rank, count in self._counts.items() if rank > priority)
-        return total > 0 and less >= self.least_share * total
+        less_urgent = sum(
+            count for other, count in self._counts.items() if other > priority
+        )
+        return total > 0 and less_urgent >= self.least_share * total
 
     def _decay(self, now):
         elapsed = now - self._updated_at
         if elapsed > 0:
-            factor = 0.5 ** (elapsed / MIX_HALF_LIFE)
-            for rank in self._counts:
-                self._counts[rank] *= factor
+            factor = 0.5 ** (elapsed / HALF_LIFE_SECONDS)
+            for priority in self._counts:
+                self._counts[priority] *= factor
         self._updated_at = now
 
 
 class WaitingCounts:
-    """Requests of a process that wait for room at a service, by rank."""
+    """Counts by priority the requests of this process that wait for a service."""
 
     def __init__(self):
         self._waiting = collections.Counter()
 
     def enter(self, priority):
-        """Count one more that waits."""
+        """Count a request that starts to wait."""
         self._waiting[priority] += 1
 
     def leave(self, priority):
-        """Count one less."""
+        """Remove a request that no longer waits."""
         self._waiting[priority] -= 1
 
     def is_most_urgent(self, priority):
-        """Return whether nobody more urgent waits."""
-        return not any(n > 0 for rank, n in self._waiting.items() if rank < priority)
+        """Return whether no request of a more urgent priority waits."""
+        return not any(
+            count > 0 for other, count in self._waiting.items() if other < priority
+        )
--- a/boragegw/balancing/_probing.py
+++ b/boragegw/balancing/_probing.py
@@ -1,9 +1,9 @@
-"""Asking: which backend servers are asked for their load, and which one is chosen.
+"""Probing: which backend servers are probed for their load, and which one is chosen.
 
-The speed of a backend server changes many times a second, so a report that is a few
-tenths of a second old says little. A short question right before the request is
-sent tells its speed, its queue, whether it is cold or leaving, and that the
-connection works.
+The speed of a backend server changes many times a second, so a load report that is a
+few tenths of a second old is stale. A probe right before the request is sent returns
+the server's speed, its queue length and whether it is cold or draining, and shows that
+the connection works.
 """
 
 import dataclasses
@@ -11,21 +11,23 @@
 
 from boragegw import utils
 
-#: Slots from which a server counts as one that slows down before it is full; with
-#: fewer, one slot kept free would cost too much of it.
-KNEE_SLOTS = 4
-#: What puts a server that is to be tried first before idle ones, but not before any
-#: other once it is full.
-INTRODUCTION = 2.0
+#: Number of slots from which part of a server is kept free, because it slows down
+#: before all its slots are in use. On a smaller server one free slot would waste too
+#: much of its capacity.
+MIN_SLOTS_FOR_HEADROOM = 4
+#: Subtracted from the probing cost of a server that has just joined. It ranks the
+#: server before idle ones, but no longer once the server is full.
+NEW_SERVER_BONUS = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ScoredServer:
-    """A candidate's answer to the question, judged.
+    """A backend server with the score of its latest probe.
 
-    :param cost: expected time of a request there, in multiples of the usual time.
-    :param is_acceptable: good enough to ask no further.
-    :param has_capacity: it can take one more request without a queue.
+    :param cost: expected latency of a request there, as a multiple of the usual one,
+        plus penalties for failures and distance.
+    :param is_acceptable: whether it is good enough to stop probing.
+    :param has_capacity: whether it can take one more request without queueing.
     """
 
     server: object
@@ -35,38 +37,41 @@
 
 
 class ProbingPolicy(utils.Parameterized):
-    """Asks candidates in small waves until one of them is quiet.
-
-    :param data_centre: this process's data centre; its servers come first among
-        near equals, which saves 1.8 ms a request and traffic between data centres.
-    :param wave: candidates in a wave.
-    :param most: candidates that are asked for one request.
-    :param quiet_cost: a candidate whose expected time is at most this multiple of
-        the usual time is taken without asking further.
+    """Probes candidates in small waves until one of them is acceptable.
+
+    :param data_centre: data centre of this process. Its servers are preferred at nearly
+        equal cost, which saves 1.8 ms a request and traffic between data centres.
+    :param wave: candidates probed at the same time.
+    :param most: maximum number of candidates probed for one request.
+    :param quiet_cost: a candidate of at most this cost (a multiple of the usual
+        latency) is acceptable and ends the probing.
     :param distance_cost: added to the cost of a server in another data centre.
-    :param heavy_distance_cost: the same where the answer is large, as a download's is:
-        its bytes between data centres cost more than a somewhat slower server.
-    :param connection_cost: added in the order of asking where a new connection would
-        be needed: it takes a round trip and 1 ms of the server.
-    :param failure_cost: added in proportion to the share of recent failures.
-    :param full_cost: added in the order of asking for a server that has just said that
-        it has no room, less with the age of its word. Guards against requests that
-        ask the same full servers again and again while others have room: those that
-        turn work away now and then stand last in the order, and with a service that
-        seems full only the first two were asked.
-    :param memory: seconds for which an old report counts in the order of asking.
-    :param introductions: processes that try a server first which has joined. Guards
-        against new servers that get nothing: while there is room everywhere, those
-        to which connections are open always come first.
-    :param slow_weight: cost of a server that works n times as slowly is 1 plus this
-        times (n - 1). A request keeps the pace at which it begins: those that began
-        at a reported 5 took 4.4 times as long as those at 1.
-    :param fill_share: a server of :data:`KNEE_SLOTS` slots or more has room up to
-        this share of them. Beyond it, such servers were seen to slow down all they
-        hold by 1.7.
-    :param lasting_after: slow reports in a row, a spell apart, from which a server
-        counts as slow for long and is used again; 1 passes over no slow spell. Where
-        a third of all spells are slow, four in a row come by chance 4 times in 100.
+    :param heavy_distance_cost: added instead where the answer is large, such as that
+        of a download. Moving its bytes between data centres costs more than using a
+        somewhat slower server.
+    :param connection_cost: added to the probing order of a server that needs a new
+        connection, which takes a round trip and 1 ms of the server's time.
+    :param failure_cost: added in proportion to the recent failure rate.
+    :param full_cost: added to the probing order of a server that has just reported no
+        free capacity; the penalty falls with the age of the report. Guards against
+        requests that probe the same full servers repeatedly while others have
+        capacity. Servers that reject some requests rank last, and only the first two
+        servers of a saturated service are probed.
+    :param memory: seconds for which an old report counts in the probing order.
+    :param introductions: expected number of processes that probe a server first after
+        it has joined. Guards against new servers that get no requests: while all
+        servers have capacity, those with open connections always rank first.
+    :param slow_weight: a server that works n times slower costs 1 plus this weight
+        times (n - 1). A request keeps the speed at which it starts: requests that
+        started at a reported slowness of 5 took 4.4 times as long as those at 1.
+    :param fill_share: a server of at least :data:`MIN_SLOTS_FOR_HEADROOM` slots has
+        capacity up to this share of them. Beyond it, such servers slow down all their
+        requests by a factor of 1.7.
+    :param lasting_after: number of consecutive slow reports, at least
+        :data:`~boragegw.balancing._servers.SLOWDOWN_SECONDS` apart, from which the
+        slowness counts as lasting and the server is used again. 1 skips no slow server.
+        Where a third of the reports are slow, four in a row occur by chance in 4 of
+        100 cases.
     """
 
     _parameter_constraints = {
@@ -118,9 +123,9 @@
         self.lasting_after = lasting_after
 
     def prefers_new_server(self, processes, random_state):
-        """Return whether this process tries a server first that has just joined.
+        """Return whether this process probes a server that has just joined first.
 
-        :param processes: processes that may be alive, this one included.
+        :param processes: number of processes that may be alive, this one included.
         """
         self._check_params()
         return random_state.random() * processes < self.introductions
@@ -136,114 +141,118 @@
         heavy=False,
         connected=(),
     ):
-        """Yield lists of servers to ask, the most promising first.
-
-        :param allowed: most servers that may be asked.
-        :param saturation: share of recent searches that found no room. Each question
-            takes a few milliseconds of a server, so a full service is asked less.
-        :param heavy: the answer is large.
-        :param connected: identities of servers to which a connection is idle.
+        """Yield lists of servers to probe, in order of increasing expected cost.
+
+        :param allowed: maximum number of servers to probe.
+        :param saturation: share of recent searches that found no free capacity. Each
+            probe takes a few milliseconds of a server, so a saturated service gets
+            fewer probes.
+        :param heavy: whether the answer is large.
+        :param connected: identities of servers with an idle connection.
         """
         self._check_params()
 
-        def rank(server):
-            guess = self._expectation(server, now, random_state, heavy)
+        def probing_cost(server):
+            cost = self._estimate_cost(server, now, random_state, heavy)
             if server.identity not in connected:
-                guess += self.connection_cost
-            return guess
+                cost += self.connection_cost
+            return cost
 
-        # A question to a server that reports nothing takes a new connection, and its
-        # answer does not tell whether there is room.
-        worth_asking = (
+        # A probe of a server that reports no load needs a new connection, and the
+        # answer does not show whether the server has capacity.
+        probed = (
             server
             for server in candidates
-            if server.report is not None or self._has_room(server, now)
+            if server.report is not None or self._has_capacity(server, now)
         )
-        order = sorted(worth_asking, key=rank)
+        order = sorted(probed, key=probing_cost)
         wanted = max(self.wave, round(self.most * (1.0 - 1.5 * saturation)))
-        most = order[: min(wanted, allowed)]
-        for start in range(0, len(most), self.wave):
-            yield most[start : start + self.wave]
+        selected = order[: min(wanted, allowed)]
+        for start in range(0, len(selected), self.wave):
+            yield selected[start : start + self.wave]
 
-    def _expectation(self, server, now, random_state, heavy):
-        """Return a guess of the cost from what is known without asking."""
+    def _estimate_cost(self, server, now, random_state, heavy):
+        """Return the expected cost from what is known without a probe."""
         load = server.own_in_flight / server.slots
-        guess = load + 0.3 * random_state.random()
+        cost = load + 0.3 * random_state.random()
         if server.preferred_as_new:
-            guess -= INTRODUCTION
+            cost -= NEW_SERVER_BONUS
         if server.listing.data_centre != self.data_centre:
-            guess += 0.2 + self._distance(heavy)
-        guess += self.failure_cost * server.failures.rate(now)
+            cost += 0.2 + self._distance_penalty(heavy)
+        cost += self.failure_cost * server.failures.rate(now)
         age = now - server.slowness_at
         if age >= self.memory:
-            return guess
-        guess += 0.5 * (self._load_cost(server, now) - 1.0)
-        if not self._has_room(server, now):
-            guess += self.full_cost * (1.0 - age / self.memory)
-        return guess
+            return cost
+        cost += 0.5 * (self._load_cost(server, now) - 1.0)
+        if not self._has_capacity(server, now):
+            cost += self.full_cost * (1.0 - age / self.memory)
+        return cost
 
-    def _distance(self, heavy):
+    def _distance_penalty(self, heavy):
         return self.heavy_distance_cost if heavy else self.distance_cost
 
     def score(self, server, now, heavy=False):
         """Return the :class:`ScoredServer` of a server whose report has just arrived.
 
-        :param heavy: the answer is large.
+        :param heavy: whether the answer is large.
         """
         cost = self._load_cost(server, now)
         cost += self.failure_cost * server.failures.rate(now)
-        room = self._has_room(server, now)
-        quiet = room and cost <= self.quiet_cost
+        has_capacity = self._has_capacity(server, now)
+        is_acceptable = has_capacity and cost <= self.quiet_cost
         if server.listing.data_centre != self.data_centre:
-            cost += self._distance(heavy)
-            quiet = quiet and not heavy
-        return ScoredServer(server, cost, quiet, room)
+            cost += self._distance_penalty(heavy)
+            is_acceptable = is_acceptable and not heavy
+        return ScoredServer(server, cost, is_acceptable, has_capacity)
 
-    def _has_room(self, server, now):
-        """Return whether a request would begin at once and at the usual pace.
+    def _has_capacity(self, server, now):
+        """Return whether a request would start at once and at the usual speed.
 
-        Guards against slots that are taken for five times as long: under a burst,
-        one request in seven began in a slow spell, came late, and held as much of
-        the slots as four others. Such a spell is over before another server's slot
-        would have been free again, so nothing is lost by passing it over.
+        Guards against slots that are held five times as long as usual. Under a burst,
+        one request in seven started during a transient slowdown, was answered late and
+        took as much slot time as four others. Skipping the server loses nothing: the
+        slowdown ends before a slot of another server would become free.
         """
         if server.in_transient_slowdown(now, self.lasting_after):
             return False
-        slots, ahead = self._occupancy(server)
-        return ahead < (slots if slots < KNEE_SLOTS else int(self.fill_share * slots))
+        slots, held = self._occupancy(server)
+        return held < (
+            slots if slots < MIN_SLOTS_FOR_HEADROOM else int(self.fill_share * slots)
+        )
 
     def _load_cost(self, server, now):
-        """Return the expected time there, in multiples of the usual time."""
-        slots, ahead = self._occupancy(server)
-        queueing = max(0, ahead + 1 - slots) / slots
+        """Return the expected latency there as a multiple of the usual one."""
+        slots, held = self._occupancy(server)
+        queueing = max(0, held + 1 - slots) / slots
         slowness = 1.0 + self.slow_weight * (server.slowness(now) - 1.0)
         return slowness * (1.0 + queueing)
 
     @staticmethod
     def _occupancy(server):
-        """Return a server's slots and the requests that it holds.
+        """Return a server's number of slots and of requests that it holds.
 
-        Requests sent by this process since the report count as if reported: a burst
-        of requests that read the same report would otherwise choose the same server.
-        Of a server that reports nothing only those are known.
+        Requests that this process has sent since the report are counted as well.
+        Otherwise a burst of requests that read the same report would all choose the
+        same server. For a server that reports no load only this process's own requests
+        are known.
         """
         report = server.report
         if report is None:
             return server.slots, server.own_in_flight
-        ahead = max(report.running + report.waiting, server.own_in_flight)
-        return max(1, report.slots), ahead
+        held = max(report.running + report.waiting, server.own_in_flight)
+        return max(1, report.slots), held
 
     @staticmethod
-    def best(offers):
-        """Return the offer of the lowest cost, or ``None``."""
-        return min(offers, key=lambda offer: offer.cost, default=None)
+    def best(scored_servers):
+        """Return the scored server of the lowest cost, or ``None``."""
+        return min(scored_servers, key=lambda scored: scored.cost, default=None)
 
 
 def eligible_servers(servers, evacuated, excluded):
-    """Return the servers that may get work at all, cold and ill ones included.
+    """Return the servers that may get requests, including cold and unhealthy ones.
 
-    :param evacuated: data centres that are taken out.
-    :param excluded: identities that the request has tried before.
+    :param evacuated: data centres that are taken out of service.
+    :param excluded: identities of servers that the request has already tried.
     """
     return [
         server
@@ -255,22 +264,26 @@
 
 
 def available_servers(servers, *, now, evacuated, excluded=()):
-    """Return the servers that may get a request, those in good health first.
+    """Return the warm servers that may get a request, only the healthy ones if any.
 
-    A server whose health check fails or that cannot be reached is used only where no
-    other is left: health checks may be wrong, and a common cause can make all of a
-    service look ill at once.
+    A server whose health check fails or that is unreachable is used only if no other
+    one is left. Health checks may be wrong, and a common cause can make all servers of
+    a service look unhealthy at once.
 
-    :param evacuated: data centres that are taken out.
-    :param excluded: identities that the request has tried before.
+    :param evacuated: data centres that are taken out of service.
+    :param excluded: identities of servers that the request has already tried.
     """
-    allowed = eligible_servers(servers, evacuated, excluded)
-    warm = [server for server in allowed if not server.is_cold(now)]
+    eligible = eligible_servers(servers, evacuated, excluded)
+    warm = [server for server in eligible if not server.is_cold(now)]
     reachable = [s for s in warm if s.unreachable_until <= now]
     healthy = [s for s in reachable if s.unhealthy_until <= now]
     return healthy or reachable or warm
 
 
-def expected_latency(offer, usual):
-    """Return the seconds that a request would take there."""
-    return math.inf if offer is None else offer.cost * usual
+def expected_latency(scored, usual_latency):
+    """Return the expected latency of a request on a scored server.
+
+    :param scored: a :class:`ScoredServer`, or ``None`` for an infinite latency.
+    :param usual_latency: latency of a request at cost 1, in the unit of the result.
+    """
+    return math.inf if scored is None else scored.cost * usual_latency
--- a/boragegw/balancing/_quarantine.py
+++ b/boragegw/balancing/_quarantine.py
@@ -4,16 +4,18 @@
 
 
 class QuarantinePolicy(utils.Parameterized):
-    """Counts crashes by the request's fingerprint.
+    """Quarantines requests by the number of crashes for each request fingerprint.
 
-    Guards against a poisonous request: each backend server that runs it crashes, its
-    caller or a retry sends it again, and one request fells a whole service. After the
-    stated crashes it is refused everywhere until the quarantine expires.
+    Guards against a request that crashes each backend server that runs it. The caller
+    or a retry sends it again, so that one request can take down a whole service. After
+    the configured number of crashes all processes refuse the request until the
+    quarantine expires.
 
     :param idempotent_crashes: crashes after which an idempotent request is refused.
-    :param non_idempotent_crashes: the same for a non-idempotent one.
+    :param non_idempotent_crashes: crashes after which a non-idempotent request is
+        refused.
     :param duration: seconds of quarantine.
-    :param capacity: fingerprints remembered; the oldest goes first.
+    :param capacity: maximum number of fingerprints kept; the oldest is evicted first.
     """
 
     _parameter_constraints = {
@@ -37,9 +39,9 @@
         self._crashes = {}
 
     def observe_crash(self, quarantined, fingerprint, idempotent, now):
-        """Count a crash; return whether the request is quarantined by it.
+        """Count a crash; return whether it puts the request into quarantine.
 
-        :param quarantined: the blackboard's expiry by fingerprint.
+        :param quarantined: expiry time by fingerprint, as kept by the blackboard.
         """
         self._check_params()
         crashes = self._crashes.pop(fingerprint, 0) + 1
@@ -53,14 +55,14 @@
         return True
 
     def add(self, quarantined, fingerprint, expires_at):
-        """Quarantine a fingerprint, also one that a peer has found."""
+        """Quarantine a fingerprint that this process or a peer has found."""
         quarantined.pop(fingerprint, None)
         quarantined[fingerprint] = expires_at
         if len(quarantined) > self.capacity:
             del quarantined[next(iter(quarantined))]
 
     def covers(self, quarantined, fingerprint, now):
-        """Return whether a request is quarantined, forgetting it if expired."""
+        """Return whether a request is quarantined; remove its entry if expired."""
         expires_at = quarantined.get(fingerprint)
         if expires_at is None:
             return False
--- a/boragegw/balancing/_routing.py
+++ b/boragegw/balancing/_routing.py
@@ -1,11 +1,11 @@
-"""Routes: which service a request goes to, and what its route permits."""
+"""Routing: which service a request goes to, and the limits of its route."""
 
 import dataclasses
 import enum
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated on a route."""
+    """Kind of the requests of a route; determines whether they may be retried."""
 
     SAFE = "safe"
     NON_IDEMPOTENT = "non-idempotent"
@@ -13,13 +13,13 @@
 
     @property
     def idempotent(self):
-        """Whether a request may run more than once."""
+        """Whether requests may run more than once."""
         return self is not RouteKind.NON_IDEMPOTENT
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One part of a split route."""
+    """A service that gets a share of a route's requests."""
 
     service: str
     weight: float
@@ -27,14 +27,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """One route of the configuration in force.
+    """A route of the active configuration.
 
     :param host: host name in lower case, without a port.
     :param prefix: path prefix that begins and ends with a slash.
-    :param timeout: longest time in seconds that a request is kept waiting.
-    :param target_latency: seconds within which an answer is worth most.
-    :param priority: rank among the requests of a service; 0 is the most urgent.
-    :param max_attempts: most backend servers on which one request may run.
+    :param timeout: maximum time in seconds until a request is answered.
+    :param target_latency: seconds within which requests should be answered.
+    :param priority: priority among the requests of a service; 0 is the most urgent.
+    :param max_attempts: maximum number of backend servers on which a request may run.
     :param weighted_services: the services that share the requests, by weight. Empty if
         they are not known; requests are then refused.
     """
@@ -52,12 +52,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceSettings:
-    """One service of the configuration in force.
+    """Settings of a service in the active configuration.
 
     :param health_path: path of the health check.
-    :param max_connections: connections that a backend server accepts from everybody.
+    :param max_connections: connections that a backend server accepts in total.
     :param warm_up: seconds for which a backend server stays cold after its start.
-    :param warm_up_rate: requests per second that a cold backend server bears.
+    :param warm_up_rate: requests per second that a cold backend server can handle.
     """
 
     name: str
@@ -69,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what a caller may send; bytes and seconds."""
+    """Limits on the requests of callers, in bytes and seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 64 << 20
@@ -78,10 +78,10 @@
 
 
 class RouteTable:
-    """Finds a request's route by host and longest prefix.
+    """Finds the route of a request by host and longest path prefix.
 
-    The look-up tries each prefix of the path that ends with a slash, longest first,
-    so its cost follows the depth of the path and not the number of routes.
+    A lookup tries each prefix of the path that ends with a slash, longest first. Its
+    cost depends on the depth of the path and not on the number of routes.
     """
 
     def __init__(self, routes):
@@ -93,10 +93,10 @@
         return sum(len(routes) for routes in self._by_host.values())
 
     def match(self, host, path):
-        """Return the route of ``path`` at ``host``, or ``None``.
+        """Return the route of ``path`` on ``host``, or ``None``.
 
         :param host: value of the Host header.
-        :param path: path without a query.
+        :param path: request path without the query.
         """
         routes = self._by_host.get(normalize_host(host))
         if routes is None:
@@ -121,36 +121,40 @@
 
 
 class WeightedRoundRobin:
-    """Takes the parts of a split route in turn, in proportion to their weights.
+    """Smooth weighted round robin over the services of a route.
 
-    Smooth weighted round robin keeps each process within one request of the weights,
-    where an even draw would stray by 0.035 of a share over 200 requests. The start is
-    drawn, so that many processes do not favour the same part at first.
+    Each process stays within one request of the weights. Random selection would
+    deviate by 0.035 in the share of a service over 200 requests. The initial state is
+    random, so that many processes do not all start with the same service.
+
+    :param services: a sequence of :class:`WeightedService`.
     """
 
-    def __init__(self, parts, random_state):
-        self._parts = [part for part in parts if part.weight > 0] or list(parts)
-        self._total = sum(part.weight for part in self._parts)
-        self._credit = [random_state.random() * self._total for _ in self._parts]
+    def __init__(self, services, random_state):
+        self._services = [s for s in services if s.weight > 0] or list(services)
+        self._total_weight = sum(s.weight for s in self._services)
+        self._current_weights = [
+            random_state.random() * self._total_weight for _ in self._services
+        ]
 
     def next_service(self):
-        """Return the service of the next request."""
-        if len(self._parts) == 1:
-            return self._parts[0].service
+        """Return the name of the service that gets the next request."""
+        if len(self._services) == 1:
+            return self._services[0].service
         best = 0
-        for index, part in enumerate(self._parts):
-            self._credit[index] += part.weight
-            if self._credit[index] > self._credit[best]:
+        for index, weighted in enumerate(self._services):
+            self._current_weights[index] += weighted.weight
+            if self._current_weights[index] > self._current_weights[best]:
                 best = index
-        self._credit[best] -= self._total
-        return self._parts[best].service
+        self._current_weights[best] -= self._total_weight
+        return self._services[best].service
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """A configuration in force, whole.
+    """A complete configuration.
 
-    :param version: greater versions replace smaller ones.
+    :param version: a greater version replaces a smaller one.
     :param services: :class:`ServiceSettings` by name.
     """
 
--- a/boragegw/balancing/_servers.py
+++ b/boragegw/balancing/_servers.py
@@ -1,34 +1,35 @@
-"""What one entry process knows of a backend server."""
+"""State that a gateway process keeps of a backend server: load, failures, slowness."""
 
 import dataclasses
 import math
 
-#: Seconds after which half of what was learned of failures is forgotten. Faulty
-#: servers recover within seconds, and a server without traffic must be tried again.
-FAILURE_HALF_LIFE = 1.5
-#: Weight of the assumption that nothing fails, in requests: one failure alone must
-#: not look like a server that fails always.
+#: Half-life of the counts of requests and failures in seconds. Faulty servers recover
+#: within seconds, and a server without traffic must be tried again.
+FAILURE_HALF_LIFE_SECONDS = 1.5
+#: Number of assumed successful requests that the failure rate includes. Without them a
+#: single failure would look like a server that always fails.
 PRIOR_REQUESTS = 2.0
-#: Multiple of its usual time from which a server counts as slow. Servers that share
-#: their machines were seen at 1 or 5.
+#: Multiple of the usual latency from which a server counts as slow. Servers that share
+#: their machines work either at 1 or at 5 times the usual latency.
 SLOWNESS_THRESHOLD = 2.5
-#: Seconds after which a slow report counts anew: a server's speed changes each 150 ms.
-SPELL = 0.15
-#: Seconds after which the slow spell of a server that reports no load counts as over.
-SPELL_MEMORY = 0.3
+#: Minimum time between two slow reports that are both counted. The speed of a server
+#: changes every 150 ms.
+SLOWDOWN_SECONDS = 0.15
+#: Time for which the observed slowness of a server that reports no load is valid.
+SLOWNESS_TTL_SECONDS = 0.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Listing:
     """A backend server as the platform lists it.
 
-    :param identity: changes with most starts of the server.
+    :param identity: identifier of the server; changes with most of its restarts.
     :param address: ``(host, port)``.
-    :param slots: requests that it works on at a time.
-    :param draining: it has announced that it leaves.
-    :param cold_for: seconds for which it stays cold from when this was written.
-    :param started_ms: Unix milliseconds of its start; 0 if it does not say.
-    :param sequence: grows with each of its reports since its start.
+    :param slots: number of requests that it processes concurrently.
+    :param draining: whether it has announced its shutdown.
+    :param cold_for: seconds for which it stays cold after the listing was written.
+    :param started_ms: start time of the server in Unix milliseconds; 0 if unknown.
+    :param sequence: number that increases with each report since the server's start.
     """
 
     identity: str
@@ -45,12 +46,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A backend server's own word on its load.
+    """Load that a backend server reports of itself.
 
-    :param running: requests that it works on.
-    :param waiting: requests in its queue.
-    :param slots: requests that it works on at a time.
-    :param slowness: how long work takes now, as a multiple of the usual time.
+    :param running: number of requests in progress.
+    :param waiting: number of requests in its queue.
+    :param slots: number of requests that it processes concurrently.
+    :param slowness: current latency as a multiple of the usual latency.
     :param received_at: monotonic seconds.
     """
 
@@ -62,7 +63,7 @@
 
 
 class FailureRate:
-    """Share of recent requests that failed, forgotten with a half-life."""
+    """Failure rate of recent requests, with exponential decay."""
 
     __slots__ = ("_failed", "_total", "_updated_at")
 
@@ -79,7 +80,7 @@
             self._failed += 1.0
 
     def rate(self, now):
-        """Return the share of failures, between 0 and 1."""
+        """Return the share of failed requests, between 0 and 1."""
         if self._failed < 0.05:
             return 0.0
         self._decay(now)
@@ -88,7 +89,7 @@
     def _decay(self, now):
         elapsed = now - self._updated_at
         if elapsed > 0:
-            factor = 0.5 ** (elapsed / FAILURE_HALF_LIFE)
+            factor = 0.5 ** (elapsed / FAILURE_HALF_LIFE_SECONDS)
             self._failed *= factor
             self._total *= factor
         self._updated_at = now
@@ -96,21 +97,24 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Server:
-    """One backend server and what this process has learned of it.
-
-    :param own_in_flight: requests of this process that it holds.
-    :param report: its last load report, ``None`` if it tells none.
-    :param last_slowness: how long work took there when last seen, as a multiple of
-        the usual time.
-    :param slowness_at: when that was; monotonic seconds.
-    :param cold_until: monotonic seconds until which it is cold.
-    :param unhealthy_until: its health check fails; monotonic seconds.
-    :param moved: its address answered as another server.
-    :param removed: it is no longer listed.
-    :param slow_reports: reports in a row, :data:`SPELL` apart, that it is slow.
-    :param slow_counted_at: when the last of them was counted; monotonic seconds.
-    :param preferred_as_new: it has just joined, and this process probes it before the
-        others.
+    """A backend server with the state that this process has observed.
+
+    :param own_in_flight: number of requests of this process that are in flight there.
+    :param report: its latest load report; ``None`` if it sends none.
+    :param last_slowness: latest observed latency as a multiple of the usual latency.
+    :param slowness_at: time of that observation in monotonic seconds.
+    :param cold_until: monotonic seconds until which it counts as cold.
+    :param unhealthy_until: monotonic seconds until which it counts as unhealthy after
+        a failed health check.
+    :param unreachable_until: monotonic seconds until which it counts as unreachable.
+    :param moved: whether another server has answered at its address.
+    :param removed: whether it is no longer listed.
+    :param slow_reports: consecutive slow reports, counted at least
+        :data:`SLOWDOWN_SECONDS` apart.
+    :param slow_counted_at: time at which a slow report was last counted, in monotonic
+        seconds.
+    :param preferred_as_new: whether it has just joined and this process probes it
+        before the others.
     """
 
     listing: Listing
@@ -129,59 +133,61 @@
     failures: FailureRate = dataclasses.field(default_factory=FailureRate)
 
     def __post_init__(self):
-        """Take the pace from a report that is given at once."""
+        """Record the slowness of a report that is passed to the constructor."""
         if self.report is not None:
             self.observe_report(self.report)
 
     @property
     def identity(self):
-        """Its identity on the platform."""
+        """Identifier of the server on the platform."""
         return self.listing.identity
 
     @property
     def slots(self):
-        """Requests that it works on at a time."""
+        """Number of requests that it processes concurrently; at least 1."""
         return max(1, self.listing.slots)
 
     @property
     def leaving(self):
-        """Whether it must get no new work, whatever its load."""
+        """Whether it must get no new requests, regardless of its load."""
         return self.removed or self.moved or self.listing.draining
 
     def in_transient_slowdown(self, now, lasting_after):
-        """Whether it is slow and will probably not stay so.
+        """Return whether it is slow, but probably only for a short time.
 
-        :param lasting_after: slow reports in a row that show more than a spell.
+        :param lasting_after: number of consecutive slow reports from which the
+            slowness counts as lasting.
         """
-        return self._knows_pace(now) and 0 < self.slow_reports < lasting_after
+        return self._is_slowness_valid(now) and 0 < self.slow_reports < lasting_after
 
     def slowness(self, now):
-        """Return how long work takes there, as a multiple of the usual time."""
-        return self.last_slowness if self._knows_pace(now) else 1.0
+        """Return its current latency as a multiple of the usual latency."""
+        return self.last_slowness if self._is_slowness_valid(now) else 1.0
 
-    def _knows_pace(self, now):
-        """Return whether its last known pace still counts.
+    def _is_slowness_valid(self, now):
+        """Return whether the latest observed slowness is recent enough to be used.
 
-        A server that reports load is asked right before each decision. The pace of
-        another is seen now and then only, and is over by the next time.
+        A server that reports load is probed right before each decision. The slowness
+        of other servers is observed only occasionally and is stale by the next
+        decision.
         """
-        return self.report is not None or now - self.slowness_at <= SPELL_MEMORY
+        return self.report is not None or now - self.slowness_at <= SLOWNESS_TTL_SECONDS
 
     def observe_report(self, report):
-        """Take a load report that has just arrived."""
+        """Record a load report that has just arrived."""
         self.report = report
         self.observe_slowness(report.slowness, report.received_at)
 
     def observe_slowness(self, slowness, now):
-        """Take how long work takes there now, as a multiple of the usual time."""
+        """Record its current latency as a multiple of the usual latency."""
         self.last_slowness = slowness
         self.slowness_at = now
         if slowness < SLOWNESS_THRESHOLD:
             self.slow_reports = 0
-        elif now - self.slow_counted_at >= SPELL:
+        elif now - self.slow_counted_at >= SLOWDOWN_SECONDS:
             self.slow_reports += 1
             self.slow_counted_at = now
 
     def is_cold(self, now):
-        """Whether it bears only its warm-up rate."""
+        """Return whether it can handle only its warm-up rate."""
         return self.cold_until > now
--- a/boragegw/balancing/_slowness.py
+++ b/boragegw/balancing/_slowness.py
@@ -1,4 +1,4 @@
-"""How slowly a server works that reports no load, read off its first answers."""
+"""Estimates the slowness of servers that report no load, from new connections."""
 
 import collections
 
@@ -6,21 +6,22 @@
 
 
 class SlownessEstimator(utils.Parameterized):
-    """Compares the time of first answers on new connections.
+    """Compares the times of the first answers on new connections.
 
-    A server that shares its machine answers a question on an open connection at once,
-    whatever its pace. Taking a new connection is work, though, and takes as many times
-    longer as everything else does at that moment.
+    A server that shares its machine answers a probe on an open connection at once,
+    whatever its speed. Accepting a new connection takes processing time, which grows
+    by the same factor as that of requests.
 
-    :param samples: answers remembered.
-    :param usual_quantile: share of them that were at the usual pace or faster; below
-        one half, so that a service is not taken for quick because most of it is slow.
-    :param least: seconds that an answer takes at least, besides the round trip;
-        shorter ones are lost in the noise of the clock.
-    :param most: greatest slowness that is told.
-    :param slow_share: share of slow answers from which new connections are worth
-        their cost for every question.
-    :param explore_share: share of questions on new connections otherwise.
+    :param samples: number of answer times kept.
+    :param usual_quantile: quantile of the answer times that counts as usual. It is
+        below one half, so that the usual time stays that of servers at full speed
+        while most of a service is slow.
+    :param least: lower bound of an answer time in seconds, without the round trip.
+        Shorter times are within the noise of the clock.
+    :param most: upper bound of the returned slowness.
+    :param slow_share: share of slow answers from which every probe uses a new
+        connection.
+    :param explore_share: share of probes that use a new connection otherwise.
     """
 
     _parameter_constraints = {
@@ -32,8 +33,8 @@
         "explore_share": utils.Interval(float, 0, 1),
     }
 
-    #: Answers before which nothing is concluded.
-    LEAST_SAMPLES = 8
+    #: Number of answers from which a slowness is estimated.
+    MIN_SAMPLES = 8
     #: Multiple of the usual time from which an answer counts as slow.
     SLOW_RATIO = 2.5
 
@@ -55,27 +56,27 @@
         self._seconds = collections.deque(maxlen=samples)
 
     def observe(self, seconds):
-        """Learn the time of one first answer and return the slowness it shows.
+        """Record the time of a first answer and return the slowness that it shows.
 
-        :param seconds: from the question to the answer, less a round trip.
-        :return: multiple of the usual time, 1 while too little is known.
+        :param seconds: time from the probe to the answer, less a round trip.
+        :return: multiple of the usual time; 1 while there are too few answers.
         """
         self._check_params()
         self._seconds.append(max(self.least, seconds))
-        if len(self._seconds) < self.LEAST_SAMPLES:
+        if len(self._seconds) < self.MIN_SAMPLES:
             return 1.0
-        return min(self.most, max(1.0, self._seconds[-1] / self._usual()))
+        return min(self.most, max(1.0, self._seconds[-1] / self._usual_seconds()))
 
     def wants_new_connection(self, random_state):
-        """Return whether the next question is worth a new connection."""
-        if len(self._seconds) < self.LEAST_SAMPLES:
+        """Return whether the next probe should use a new connection."""
+        if len(self._seconds) < self.MIN_SAMPLES:
             return True
-        limit = self.SLOW_RATIO * self._usual()
+        limit = self.SLOW_RATIO * self._usual_seconds()
         slow = sum(seconds > limit for seconds in self._seconds)
         if slow >= self.slow_share * len(self._seconds):
             return True
         return random_state.random() < self.explore_share
 
-    def _usual(self):
+    def _usual_seconds(self):
         ordered = sorted(self._seconds)
         return ordered[int(self.usual_quantile * (len(ordered) - 1))]
--- a/boragegw/balancing/_warmup.py
+++ b/boragegw/balancing/_warmup.py
@@ -1,22 +1,24 @@
-"""Cold backend servers: all processes together stay within the rate one bears."""
+"""Warm-up: limits the request rate to cold backend servers across all processes."""
 
 from boragegw import utils
 
-#: Seconds without use after which a process's part of a cold server's rate is drawn
-#: anew; saved-up parts of many processes would otherwise be spent in one second.
-FORGET_AFTER = 3.0
+#: Time without use after which the token bucket of a cold server is replaced by one
+#: with a random fill. Otherwise the tokens that many processes have accumulated could
+#: be spent within one second.
+BUCKET_IDLE_SECONDS = 3.0
 
 
 class WarmupPolicy(utils.Parameterized):
-    """Permits requests to cold backend servers.
+    """Limits the rate of requests to cold backend servers.
 
-    Guards against the fall of a server that has just started: it bears few requests a
-    second from all processes together and crashes well above that. Each process
-    spends its part of the rate; the first part starts at a random fill, so that the
-    processes' first requests are spread over the time that one part takes to fill.
+    Guards against overload of a server that has just started: it can handle few
+    requests per second from all processes together and crashes well above that rate.
+    Each process has an equal part of the rate and a token bucket for it. A bucket
+    starts with a random fill, so that the first requests of the processes are spread
+    over the time that one token takes to accumulate.
 
-    :param margin: share of the server's rate that is used; processes out of sight
-        may still send theirs.
+    :param margin: share of the server's rate that is used. The rest covers requests of
+        processes that are not visible to this one.
     """
 
     _parameter_constraints = {"margin": utils.Interval(float, 0, 1)}
@@ -26,26 +28,26 @@
         self._buckets = {}
 
     def permits(self, server, *, processes, rate, now, random_state):
-        """Return whether a cold server may get one request from here, and count it.
+        """Return whether a cold server may get a request now, and take a token if so.
 
-        :param processes: processes that may be alive, this one included.
-        :param rate: requests per second that the cold server bears.
+        :param processes: number of processes that may be alive, this one included.
+        :param rate: requests per second that the cold server can handle.
         """
         self._check_params()
         bucket = self._buckets.get(server.identity)
-        if bucket is None or now - bucket.updated_at > FORGET_AFTER:
-            self._forget(now)
+        if bucket is None or now - bucket.updated_at > BUCKET_IDLE_SECONDS:
+            self._evict_idle(now)
             bucket = utils.TokenBucket(1.0, tokens=random_state.random())
             bucket.updated_at = now
             self._buckets[server.identity] = bucket
         bucket.per_second = rate * self.margin / processes
         return bucket.take(now)
 
-    def _forget(self, now):
-        """Drop unused buckets: servers are replaced for as long as a process runs."""
+    def _evict_idle(self, now):
+        """Evict idle buckets, which would pile up because servers are replaced."""
         if len(self._buckets) < 256:
             return
-        oldest = now - FORGET_AFTER
+        oldest = now - BUCKET_IDLE_SECONDS
         self._buckets = {
             identity: bucket
             for identity, bucket in self._buckets.items()
--- a/boragegw/balancing/tests/test_balancing.py
+++ b/boragegw/balancing/tests/test_balancing.py
@@ -1,4 +1,4 @@
-"""Asking, budgets, warming, shedding, hedging: each at its thresholds."""
+"""Probing, budgets, warm-up, load shedding and hedging, each at its thresholds."""
 
 import random
 
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    ("load", "slots", "room"),
+    ("load", "slots", "has_capacity"),
     [
         (report(3, 0, 6), 6, True),
         (report(4, 0, 6), 6, False),
@@ -45,12 +45,12 @@
         (None, 6, True),
     ],
 )
-def test_room_ends_before_a_large_server_slows_down(load, slots, room):
-    """Servers with six slots were seen to slow down by 1.7 from 80% of them: with all
-    slots filled, a service bore 235 requests a second instead of 267.
+def test_large_server_has_no_capacity_before_it_slows_down(load, slots, has_capacity):
+    """Servers with six slots slow down by a factor of 1.7 from 80% of them. With all
+    slots in use, a service handled 235 requests per second instead of 267.
     """
     candidate = server(slots=slots, report=load)
-    assert balancing.ProbingPolicy().score(candidate, 0.0).has_capacity is room
+    assert balancing.ProbingPolicy().score(candidate, 0.0).has_capacity is has_capacity
 
 
 def test_own_requests_count_although_the_report_does_not_show_them_yet():
@@ -58,7 +58,7 @@
     assert not balancing.ProbingPolicy().score(candidate, 0.0).has_capacity
 
 
-def test_near_equals_are_taken_from_the_own_data_centre():
+def test_own_data_centre_is_preferred_at_equal_load():
     policy = balancing.ProbingPolicy("dc-a")
     near, far = server("n", "dc-a"), server("f", "dc-b")
     near.report = far.report = report()
@@ -66,7 +66,7 @@
 
 
 def test_failing_server_costs_more_than_a_slow_one():
-    """A server that fails at once has nothing in flight and would draw all work."""
+    """A server that fails at once has nothing in flight and would attract all work."""
     policy = balancing.ProbingPolicy()
     failing, slow = server("f"), server("s", report=report(slowness=5.0))
     failing.report = report()
@@ -76,10 +76,10 @@
     assert policy.score(failing, 20.0).cost < policy.score(slow, 20.0).cost
 
 
-def test_servers_that_were_just_full_are_asked_after_those_that_turn_work_away():
-    """Half of a service turns away a part of its work and the rest is full. A request
-    that may ask two servers asked the same two full ones every time, found no room and
-    was refused, while the others would have served one in two.
+def test_full_servers_are_probed_after_those_that_shed_some_load():
+    """Half of a service rejects part of its requests and the other half is full. A
+    request that may probe two servers probed the same two full ones every time, found
+    no capacity and was refused, although the others would have served one in two.
     """
     policy = balancing.ProbingPolicy()
     full = [server(f"f{n}", report=report(4, at=0.99)) for n in range(4)]
@@ -87,57 +87,57 @@
     for candidate in shedding:
         for number in range(8):
             candidate.failures.observe(number % 2, 0.9)
-    asked = policy.waves(
+    waves = policy.waves(
         [*full, *shedding],
         allowed=2,
         saturation=0.9,
         now=1.0,
         random_state=random.Random(1),
     )
-    assert {s.identity for wave in asked for s in wave} <= {f"s{n}" for n in range(4)}
+    assert {s.identity for wave in waves for s in wave} <= {f"s{n}" for n in range(4)}
 
 
-def test_full_service_is_asked_less():
+def test_saturated_service_gets_fewer_probes():
     policy = balancing.ProbingPolicy(most=8, wave=2)
     servers = [server(str(n)) for n in range(12)]
 
-    def asked(fullness, allowed=99):
+    def probe_count(saturation, allowed=99):
         waves = policy.waves(
             servers,
             allowed=allowed,
-            saturation=fullness,
+            saturation=saturation,
             now=0.0,
             random_state=random.Random(1),
         )
         return sum(len(wave) for wave in waves)
 
-    assert asked(0.0) == 8
-    assert asked(1.0) == 2
-    assert asked(0.0, allowed=3) == 3
+    assert probe_count(0.0) == 8
+    assert probe_count(1.0) == 2
+    assert probe_count(0.0, allowed=3) == 3
 
 
-def test_fleet_of_probes_stays_within_the_rule():
-    """A service is full, and each request of 17 processes asks all it may. The
-    questions would take the slots of the work that they look for.
+def test_probes_of_all_processes_stay_within_the_budget():
+    """A service is full, and each request of 17 processes sends all probes it may.
+    Without the limit the probes would occupy the slots that the requests need.
     """
     fleet = [balancing.ProbeBudget(60.0) for _ in range(17)]
-    asked = 0
+    sent = 0
     for step in range(10_000):
         budget = fleet[step % 17]
-        questions = min(8, budget.remaining(step * 0.002, 20, 17))
-        budget.take(questions)
-        asked += questions
-    assert asked / 20.0 / 20 <= 60
+        probes = min(8, budget.remaining(step * 0.002, 20, 17))
+        budget.take(probes)
+        sent += probes
+    assert sent / 20.0 / 20 <= 60
 
 
-def test_ill_servers_are_used_where_no_other_is_left():
-    """All health checks of a service fail at once, though its servers answer: a
-    common cause lies. Refusing everything would turn the error into an outage.
+def test_unhealthy_servers_are_used_if_no_other_is_left():
+    """All health checks of a service fail at once because of a common cause, although
+    its servers answer. Refusing all requests would turn the error into an outage.
     """
     servers = [server(str(n), unhealthy_until=10.0) for n in range(3)]
-    well = server("well")
-    assert balancing.available_servers([*servers, well], now=0.0, evacuated=()) == [
-        well
+    healthy = server("well")
+    assert balancing.available_servers([*servers, healthy], now=0.0, evacuated=()) == [
+        healthy
     ]
     assert balancing.available_servers(servers, now=0.0, evacuated=()) == servers
 
@@ -153,26 +153,26 @@
     assert found == []
 
 
-def test_fleet_of_budgets_stays_within_the_rule():
-    """Every process spends all it may. In any ten seconds, the repeats of all stay
-    within a fifth of the requests and the slack.
+def test_retries_of_all_processes_stay_within_the_budget():
+    """Every process spends its whole budget. In any ten seconds, all retries together
+    stay within a fifth of the requests plus the slack.
     """
     fleet = [balancing.RetryBudget(0.2, 50.0, 10.0) for _ in range(17)]
-    repeats, requests = [], []
+    retries, requests = [], []
     for step in range(3000):
         now = step * 0.02
         budget = fleet[step % 17]
         budget.observe_request(now)
         requests.append(now)
         while budget.take(now, 17):
-            repeats.append(now)
+            retries.append(now)
     for start in range(0, 50):
-        spent = sum(start <= moment < start + 10 for moment in repeats)
-        asked = sum(start <= moment < start + 10 for moment in requests)
-        assert spent <= 0.2 * asked + 50
+        spent = sum(start <= moment < start + 10 for moment in retries)
+        received = sum(start <= moment < start + 10 for moment in requests)
+        assert spent <= 0.2 * received + 50
 
 
-def test_hedges_leave_budget_to_repeats_after_failures():
+def test_hedges_leave_budget_for_retries_after_failures():
     budget = balancing.RetryBudget(0.2, 0.0, 10.0)
     for _ in range(100):
         budget.observe_request(0.0)
@@ -183,18 +183,18 @@
     assert budget.take(0.0, 1)
 
 
-def test_cold_server_gets_its_rate_from_all_processes_together():
-    """Thirteen processes meet a cold server that bears 3.6 requests a second. In no
-    second may all of them together send more than half as much again, and five.
+def test_all_processes_together_stay_within_the_rate_of_a_cold_server():
+    """Thirteen processes send to a cold server that can handle 3.6 requests per second.
+    In any second all of them together may send at most 1.5 times that rate plus 5.
     """
     cold = server("cold")
     fleet = [(balancing.WarmupPolicy(), random.Random(n)) for n in range(13)]
     sent = []
     for step in range(1000):
         now = step * 0.01
-        for policy, drawn in fleet:
+        for policy, random_state in fleet:
             if policy.permits(
-                cold, processes=13, rate=3.6, now=now, random_state=drawn
+                cold, processes=13, rate=3.6, now=now, random_state=random_state
             ):
                 sent.append(now)
     for start in range(9):
@@ -210,18 +210,18 @@
     assert policy.delay(0.2) == pytest.approx(0.11)
 
 
-def test_fullness_is_forgotten():
-    fullness = balancing.Saturation()
+def test_saturation_decays():
+    saturation = balancing.Saturation()
     for _ in range(50):
-        fullness.observe(True, 0.0)
-    assert fullness.share(0.0) > 0.9
-    assert fullness.share(3.0) < 0.05
+        saturation.observe(True, 0.0)
+    assert saturation.share(0.0) > 0.9
+    assert saturation.share(3.0) < 0.05
 
 
-def test_slow_spell_is_waited_out_and_lasting_slowness_is_not():
-    """A noisy neighbour slows a server down for a moment: a request that begins then
-    holds its slot for five times as long. A server that stays slow is used all the
-    same, since what it bears would be lost otherwise.
+def test_transiently_slow_server_is_skipped_and_permanently_slow_one_is_used():
+    """A noisy neighbour slows a server down for a short time, and a request that starts
+    then holds its slot five times as long. A server that stays slow is used, because
+    its capacity would be lost otherwise.
     """
     policy = balancing.ProbingPolicy()
     candidate = server()
@@ -235,17 +235,17 @@
     assert policy.score(candidate, 3.0).has_capacity
 
 
-def test_slow_reports_of_one_spell_count_once():
-    """Eight requests in 100 ms that meet the same slow spell do not make it last."""
+def test_slow_reports_of_one_slowdown_count_once():
+    """Eight slow reports within 100 ms show a single slowdown, not a lasting one."""
     candidate = server()
     for step in range(8):
         candidate.observe_report(report(slowness=5.0, at=1.0 + 0.01 * step))
     assert candidate.in_transient_slowdown(1.1, 4)
 
 
-def test_repeat_that_found_no_place_is_given_back():
-    """A hedge takes from the budget and then finds no quiet server. Counted as sent, it
-    would leave nothing for requests that really fail.
+def test_retry_that_was_not_sent_is_refunded():
+    """A hedge takes from the budget and then finds no acceptable server. Counting it as
+    sent would leave no budget for requests that fail.
     """
     budget = balancing.RetryBudget(0.0, 10.0)
     for _ in range(100):
@@ -256,28 +256,28 @@
     assert budget.remaining(1.0, 1) == pytest.approx(8.0)
 
 
-def test_rank_is_urgent_only_beside_work_that_is_asked_for():
-    """A configuration holds less urgent routes that nobody uses. Next to those every
-    request would count as urgent, and all would wait longer in vain.
+def test_priority_is_urgent_only_relative_to_recent_requests():
+    """A configuration holds less urgent routes that nobody uses. Compared with those,
+    every request would count as urgent, and all would wait longer without benefit.
     """
-    mix = balancing.PriorityDistribution()
+    distribution = balancing.PriorityDistribution()
     for number in range(100):
-        mix.observe(1, number / 100)
-    mix.observe(5, 1.0)
-    assert not mix.is_urgent(1, 1.0)
+        distribution.observe(1, number / 100)
+    distribution.observe(5, 1.0)
+    assert not distribution.is_urgent(1, 1.0)
     for number in range(30):
-        mix.observe(2, 1.0 + number / 100)
-    assert mix.is_urgent(1, 1.3)
-    assert not mix.is_urgent(2, 1.3)
+        distribution.observe(2, 1.0 + number / 100)
+    assert distribution.is_urgent(1, 1.3)
+    assert not distribution.is_urgent(2, 1.3)
     assert not balancing.PriorityDistribution().is_urgent(0, 1.0)
 
 
 def test_less_urgent_requests_wait_behind_more_urgent_ones():
-    line = balancing.WaitingCounts()
-    line.enter(2)
-    assert line.is_most_urgent(2)
-    line.enter(1)
-    assert not line.is_most_urgent(2)
-    assert line.is_most_urgent(1)
-    line.leave(1)
-    assert line.is_most_urgent(2)
+    waiting = balancing.WaitingCounts()
+    waiting.enter(2)
+    assert waiting.is_most_urgent(2)
+    waiting.enter(1)
+    assert not waiting.is_most_urgent(2)
+    assert waiting.is_most_urgent(1)
+    waiting.leave(1)
+    assert waiting.is_most_urgent(2)
--- a/boragegw/balancing/tests/test_policies.py
+++ b/boragegw/balancing/tests/test_policies.py
@@ -1,4 +1,4 @@
-"""Policies made from settings: bad values named, each switch with an effect."""
+"""Policies created from settings, and the parameters that disable mechanisms."""
 
 import json
 
@@ -19,7 +19,7 @@
         {"pace": {"slow_share": "0.5"}},
     ],
 )
-def test_bad_settings_name_the_value_and_what_was_expected(parameters):
+def test_error_of_an_invalid_setting_names_what_was_expected(parameters):
     with pytest.raises(utils.InvalidParameterError, match="expected"):
         balancing.PolicySettings(parameters).check()
     with pytest.raises(errors.ConfigurationError, match="expected"):
@@ -27,12 +27,12 @@
 
 
 @pytest.mark.parametrize("mechanism", sorted(balancing.DISABLING_PARAMETERS))
-def test_each_switch_changes_a_valid_parameter(mechanism):
+def test_disabling_parameters_are_valid_and_differ_from_defaults(mechanism):
     settings = balancing.PolicySettings(balancing.DISABLING_PARAMETERS[mechanism])
     settings.check()
     for name, values in settings.parameters.items():
-        usual = balancing.PolicySettings().make(name).get_params()
-        assert all(usual[key] != value for key, value in values.items())
+        defaults = balancing.PolicySettings().make(name).get_params()
+        assert all(defaults[key] != value for key, value in values.items())
 
 
 def test_policies_without_settings_have_their_defaults():
--- a/boragegw/balancing/tests/test_routing.py
+++ b/boragegw/balancing/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes, splits and their edge cases."""
+"""Route matching and weighted selection of services, with edge cases."""
 
 import random
 
@@ -8,9 +8,9 @@
 
 
 def route(prefix, host="a.example", name=None):
-    parts = (balancing.WeightedService("s", 1.0),)
+    services = (balancing.WeightedService("s", 1.0),)
     kind = balancing.RouteKind.SAFE
-    return balancing.Route(name or prefix, host, prefix, kind, 1.0, 0.3, 1, 2, parts)
+    return balancing.Route(name or prefix, host, prefix, kind, 1.0, 0.3, 1, 2, services)
 
 
 @pytest.mark.parametrize(
@@ -35,24 +35,27 @@
     assert (found.prefix if found else None) == expected
 
 
-def test_split_follows_the_weights_from_the_first_requests():
-    parts = tuple(
+def test_round_robin_follows_the_weights_from_the_first_request():
+    services = tuple(
         balancing.WeightedService(name, weight)
         for name, weight in (("a", 90.0), ("b", 10.0), ("none", 0.0))
     )
-    turns = balancing.WeightedRoundRobin(parts, random.Random(1))
-    services = [turns.next_service() for _ in range(200)]
-    assert services.count("b") == pytest.approx(20, abs=1)
-    assert "none" not in services
+    round_robin = balancing.WeightedRoundRobin(services, random.Random(1))
+    chosen = [round_robin.next_service() for _ in range(200)]
+    assert chosen.count("b") == pytest.approx(20, abs=1)
+    assert "none" not in chosen
 
 
-def test_many_processes_do_not_begin_with_the_same_part():
-    """Seventeen processes that all begin with the larger part would give the smaller
-    one nothing for the first requests of each.
+def test_processes_do_not_all_start_with_the_same_service():
+    """Seventeen processes that all start with the service of the larger weight would
+    send none of their first requests to the other one.
     """
-    parts = (balancing.WeightedService("a", 1.0), balancing.WeightedService("b", 1.0))
+    services = (
+        balancing.WeightedService("a", 1.0),
+        balancing.WeightedService("b", 1.0),
+    )
     first = {
-        balancing.WeightedRoundRobin(parts, random.Random(seed)).next_service()
+        balancing.WeightedRoundRobin(services, random.Random(seed)).next_service()
         for seed in range(17)
     }
     assert first == {"a", "b"}
