--- a/boragegw/decisions/__init__.py
+++ b/boragegw/decisions/__init__.py
@@ -1,4 +1,7 @@
-"""Decisions: pure, without input or output; time and randomness are arguments."""
+"""Policies of the entry: placement, admission, retries, leases and idempotency.
+
+The classes do no input or output. Time and randomness are arguments.
+"""
 
 from boragegw.balancing import QuarantinePolicy
 from boragegw.decisions._admission import (
--- a/boragegw/decisions/_admission.py
+++ b/boragegw/decisions/_admission.py
@@ -1,17 +1,17 @@
-"""Which backend servers may get one more request now."""
+"""Admission: which backend servers may get another request now."""
 
 from boragegw import blackboard, utils
 
 
 class ConcurrencyLimitPolicy(utils.Parameterized):
-    """Limits requests in flight on a backend server.
-
-    :param extra: places behind the slots of a warm backend server, so that it does
-        not idle while an answer travels back.
-    :param horizon: seconds for which a peer's count is believed.
-    :param peer_weight: share of the peers' counted requests that takes up places;
-        the counts are old when they arrive, and blocking places by them was
-        measured to double p99 (``docs/decisions/placement.md``).
+    """Limits the number of requests in flight on a backend server.
+
+    :param extra: requests in flight beyond the slots of a warm backend server, so that
+        it does not idle while an answer is on its way back.
+    :param horizon: seconds for which the count of a peer is valid.
+    :param peer_weight: share of the requests reported by peers that counts against the
+        limit. The counts are stale when they arrive; a limit that includes them doubles
+        the p99 latency (``docs/decisions/placement.md``).
     """
 
     _parameter_constraints = {
@@ -25,7 +25,7 @@
         self.horizon = horizon
         self.peer_weight = peer_weight
 
-    def free_places(self, backend, settings, now):
+    def free_capacity(self, backend, settings, now):
         """Return how many more requests this entry may send to ``backend``."""
         self._check_params()
         if backend.phase is blackboard.Phase.COLD:
@@ -38,12 +38,13 @@
 
 
 def is_admissible(backend):
-    """Return whether ``backend`` may get new work at all, its load aside.
+    """Return whether ``backend`` may get new requests, regardless of its load.
 
-    Guards against work for a recalled, leaving or cold backend server: a recall, a
-    drain or a restart may come while a request waits in the queue, and the request
-    would then run where operators took the work away. The check reads the state at
-    the moment of sending, so it holds for queued requests and after a pause too.
+    Guards against requests to a recalled, draining or cold backend server. A recall, a
+    drain or a restart may happen while a request waits in the queue, and the request
+    would then run on a server that operators have taken out of service. The check
+    reads the state at the time of sending, so it also holds for queued requests and
+    after a pause of the process.
     """
     if backend.removed or backend.recalled or backend.draining:
         return False
@@ -54,24 +55,25 @@
     return True
 
 
-def _trusted(backends, now):
-    """Yield the backend servers that are not ejected; all, if most are ejected.
+def _not_ejected(backends, now):
+    """Yield the backend servers that are not ejected; all if most are ejected.
 
-    Guards against condemning a whole service: a shared cause (a network, a bad
-    release, a wrong deadline) makes most backend servers fail alike, and ejecting
-    them would move their load to the few that are left and fell those.
+    Guards against the ejection of a whole service. A common cause, such as a network
+    fault, a faulty release or a wrong deadline, makes most backend servers fail. If
+    they were ejected, their load would move to the few remaining ones and overload
+    them.
     """
     kept = [backend for backend in backends if backend.ejected_until <= now]
     yield from kept if 2 * len(kept) >= len(backends) else backends
 
 
 def admissible(service, limits, now, excluded=()):
-    """Yield the backend servers of ``service`` with a place for one more request.
+    """Return the backend servers of ``service`` that can take one more request.
 
     :param limits: a :class:`ConcurrencyLimitPolicy`.
-    :param excluded: names that an earlier attempt of the request has tried.
+    :param excluded: names of backend servers tried by earlier attempts.
     """
-    usable = [b for b in service.backends.values() if is_admissible(b)]
-    trusted = _trusted(usable, now)
-    fresh = (b for b in trusted if b.name not in excluded)
-    return (b for b in fresh if limits.free_places(b, service.settings, now) >= 1.0)
+    candidates = [b for b in service.backends.values() if is_admissible(b)]
+    healthy = _not_ejected(candidates, now)
+    untried = (b for b in healthy if b.name not in excluded)
+    return (b for b in untried if limits.free_capacity(b, service.settings, now) >= 1.0)
--- a/boragegw/decisions/_hedging.py
+++ b/boragegw/decisions/_hedging.py
@@ -6,11 +6,11 @@
 class HedgePolicy(utils.Parameterized):
     """Decides when an idempotent request is hedged.
 
-    :param quantile: the delay is this quantile of recent latencies.
-    :param min_delay: shortest delay in seconds.
+    :param quantile: quantile of recent latencies that is used as the delay.
+    :param min_delay: minimum delay in seconds.
     :param refresh: answers between two computations of the quantile.
-    :param utilization_limit: above this share of places in use nothing is hedged;
-        the second attempt would take the place of another request.
+    :param utilization_limit: share of slots in use above which no request is hedged,
+        because a hedge would take a slot from another request.
     """
 
     _parameter_constraints = {
@@ -30,7 +30,7 @@
         self._delays = {}
 
     def observe(self, service, latency):
-        """Learn the time to an answer's head."""
+        """Record the latency in seconds until the head of an answer."""
         self._check_params()
         service.latencies.append(latency)
         name = service.settings.name
@@ -41,14 +41,17 @@
         self._delays[name] = (count + 1, delay)
 
     def delay(self, service):
-        """Return seconds after which to hedge, or ``None`` before anything is known."""
+        """Return the seconds after which to hedge, or ``None`` for no hedge.
+
+        There is none until enough answers are observed, and none without a budget.
+        """
         count, delay = self._delays.get(service.settings.name, (0, None))
         if count < self.refresh or service.settings.hedge_budget <= 0:
             return None
         return max(self.min_delay, delay)
 
     def permits(self, service, now):
-        """Return whether a hedge may be sent now, and take a token if so."""
+        """Return whether a hedge may be sent now; take a token if so."""
         if service.waiting or self._utilization(service) > self.utilization_limit:
             return False
         return service.hedge_budget.take(now)
--- a/boragegw/decisions/_idempotency.py
+++ b/boragegw/decisions/_idempotency.py
@@ -1,8 +1,9 @@
-"""The home's table of keys: at most one run for each.
+"""Idempotency keys: the table of a key's home, which lets each key run at most once.
 
-A key's first arrival at its home makes a record; every later arrival, however late,
-finds it. What was answered is final: a refusal too is recorded, so that a copy of the
-request that is delayed on its way cannot run after its caller was told "not run".
+The first request with a key creates a record at the home of the key; each later one
+finds this record, however late it arrives. An outcome is final. A refusal is recorded
+as well, so that a delayed copy of the request cannot run after its caller was told
+"not run".
 """
 
 import dataclasses
@@ -10,11 +11,12 @@
 
 from boragegw import errors, utils
 
-CLOCK_SKEW = 2.0
+#: Maximum time by which the clocks of lease issuers may run ahead.
+CLOCK_SKEW_SECONDS = 2.0
 
 
 class AdmissionKind(enum.Enum):
-    """What the home does with an arrival of a key."""
+    """What the home does with a request that carries a key."""
 
     RUN = "run"
     JOIN = "join"
@@ -24,9 +26,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """A whole answer kept for resends.
+    """A complete answer that is kept for later requests with the same key.
 
-    :param headers: pairs of bytes.
+    :param headers: pairs of name and value in bytes.
     """
 
     status: int
@@ -36,12 +38,13 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class KeyRecord:
-    """What the home knows of one key.
+    """State of a key at its home.
 
-    :param lease_expires: wall seconds; the record outlives it by the retention.
-    :param fingerprint: digest of the request, known once its body has been read.
+    :param lease_expires: expiry of the lease in seconds of the wall clock. The record
+        is kept for the retention time after it.
+    :param fingerprint: digest of the request, set once its body has been read.
     :param outcome: a :class:`StoredAnswer` or a ``RequestError`` once finished.
-    :param execution: the running execution, for resends to join.
+    :param execution: the running execution, which later requests with the key join.
     """
 
     key: str
@@ -53,7 +56,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admission:
-    """The decision on one arrival."""
+    """Decision on a request that carries a key.
+
+    :param record: record of the key, unless the request is refused.
+    :param error: error to return if the request is refused.
+    """
 
     kind: AdmissionKind
     record: KeyRecord | None = None
@@ -62,10 +69,13 @@
 
 @dataclasses.dataclass(slots=True)
 class SealedTable:
-    """The final table of a process that has stopped, held by a peer.
+    """The final key table of a stopped process, held by a peer.
 
+    :param incarnation: incarnation of the stopped process.
+    :param watermark: records of leases that expired up to this time may have been
+        evicted; seconds of the wall clock.
     :param outcomes: fingerprint and outcome by key.
-    :param watermark: keys of leases that expired up to here may be forgotten.
+    :param keep_until: time until which the table is kept; seconds of the wall clock.
     """
 
     incarnation: int
@@ -74,14 +84,14 @@
     keep_until: float = 0.0
 
     def admit(self, key, lease):
-        """Decide on an arrival for the stopped home; nothing is ever run."""
-        found = self.outcomes.get(key)
-        if found is not None:
-            fingerprint, outcome = found
+        """Decide on a request for the stopped home; no key is run any more."""
+        known = self.outcomes.get(key)
+        if known is not None:
+            fingerprint, outcome = known
             record = KeyRecord(key, lease.expires, fingerprint, outcome)
             return Admission(AdmissionKind.REPLAY, record)
         if lease.expires <= self.watermark:
-            return Admission(AdmissionKind.REFUSE, error=_forgotten())
+            return Admission(AdmissionKind.REFUSE, error=_key_expired())
         return _refuse(
             errors.Code.STOPPING, "the key's entry has stopped; take a new lease"
         )
@@ -92,7 +102,7 @@
     return Admission(AdmissionKind.REFUSE, error=error)
 
 
-def _forgotten():
+def _key_expired():
     return errors.RequestError(
         errors.Code.KEY_EXPIRED,
         "records of this lease are no longer kept",
@@ -101,11 +111,12 @@
 
 
 class KeyTable(utils.Parameterized):
-    """Records of keys whose home is this process.
+    """Table of the keys whose home is this process.
 
-    :param limit: records held; no unexpired record is evicted for another.
-    :param retention: seconds that records outlive their lease.
-    :param stored_bytes: bytes of answers held in all.
+    :param limit: maximum number of records. No unexpired record is evicted for a new
+        one.
+    :param retention: seconds for which a record is kept after its lease expires.
+    :param stored_bytes: maximum total size of the stored answers in bytes.
     """
 
     _parameter_constraints = {
@@ -123,18 +134,22 @@
         self._watermark = float("-inf")
         self._fence = float("-inf")
         self._sealed = False
-        self._swept = float("-inf")
+        self._swept_at = float("-inf")
 
     def __len__(self):
         return len(self._records)
 
     @property
     def sealed(self):
-        """Whether no new key is accepted any more."""
+        """Whether the table refuses new keys."""
         return self._sealed
 
     def admit(self, key, lease, wall):
-        """Decide on an arrival of ``key`` at its home, and record it if it is new."""
+        """Decide on a request at the home of its key; record the key if it is new.
+
+        :param lease: the :class:`~boragegw.decisions.Lease` of the key.
+        :param wall: seconds of the wall clock.
+        """
         self._check_params()
         record = self._records.get(key)
         if record is not None:
@@ -145,7 +160,7 @@
 
     def _admit_unknown(self, key, lease, wall):
         if lease.expires <= self._watermark:
-            return Admission(AdmissionKind.REFUSE, error=_forgotten())
+            return Admission(AdmissionKind.REFUSE, error=_key_expired())
         if self._sealed:
             return _refuse(errors.Code.STOPPING, "this entry is stopping")
         if lease.expires <= wall:
@@ -156,7 +171,7 @@
             return _refuse(
                 errors.Code.LEASE_FENCED,
                 "the table of keys was full; take a new lease and make a new key",
-                retry_after=CLOCK_SKEW + 1,
+                retry_after=CLOCK_SKEW_SECONDS + 1,
             )
         if len(self._records) >= self.limit:
             self._evict(wall)
@@ -167,25 +182,27 @@
         return Admission(AdmissionKind.RUN, record)
 
     def _refuse_full(self, wall):
-        """Refuse a new key that there is no room to record.
+        """Refuse a new key because the table is full.
 
-        Guards against a delayed copy of the same request that arrives when there is
-        room again: its caller was told "not run" and has perhaps filed anew. All
-        unknown keys of the leases issued up to now stay refused (a fence), which
-        takes constant space; the margin covers clocks of issuers that run ahead.
+        Guards against a delayed copy of the same request that arrives after records
+        have been evicted: its caller was told "not run" and may have sent the request
+        again with a new key. A fence refuses all unknown keys of leases issued up to
+        now and takes constant space. Its margin covers lease issuers whose clocks run
+        ahead.
         """
-        self._fence = max(self._fence, wall + CLOCK_SKEW)
+        self._fence = max(self._fence, wall + CLOCK_SKEW_SECONDS)
         return _refuse(
             errors.Code.TABLE_FULL,
             "no room for the key's record; take a new lease and make a new key",
-            retry_after=CLOCK_SKEW + 1,
+            retry_after=CLOCK_SKEW_SECONDS + 1,
         )
 
     def refuse(self, key, lease, error, wall):
-        """Record that a new key is refused before it was tried; return what is true.
+        """Record that a new key is refused before any attempt.
 
         :param error: a ``RequestError`` with the verdict not-run.
-        :returns: the error to send: of an earlier arrival, if there was one.
+        :returns: the error to send: ``error`` if the key is new. If it is known, the
+            recorded error, or ``error`` with the verdict may-have-run.
         """
         admission = self.admit(key, lease, wall)
         if admission.kind is AdmissionKind.RUN:
@@ -203,8 +220,10 @@
     def finish(self, record, outcome):
         """Record the final outcome of a key.
 
-        An answer beyond the byte budget is not kept; its resends are told that the
-        request ran.
+        An answer that exceeds the limit of stored bytes is not kept. Later requests
+        with the key are told that the request ran.
+
+        :param outcome: a :class:`StoredAnswer` or a ``RequestError``.
         """
         if isinstance(outcome, StoredAnswer):
             if self._stored + len(outcome.body) > self.stored_bytes:
@@ -219,33 +238,33 @@
         record.execution = None
 
     def sweep(self, wall):
-        """Evict expired records, once a second at most."""
-        if wall - self._swept >= 1.0:
-            self._swept = wall
+        """Evict expired records at most once a second."""
+        if wall - self._swept_at >= 1.0:
+            self._swept_at = wall
             self._evict(wall)
 
     def _evict(self, wall):
-        """Drop finished records whose retention is over.
+        """Evict finished records whose retention has ended.
 
-        The watermark keeps the proof honest: a key of a lease that expired up to it
-        may have had a record, so it is never called "not run", whatever the clock.
+        A key of a lease that expired up to the watermark may have had a record.
+        Such a key is never reported as "not run", regardless of the clock.
         """
         for key, record in list(self._records.items()):
-            over = record.lease_expires + self.retention <= wall
-            if over and record.outcome is not None:
+            expired = record.lease_expires + self.retention <= wall
+            if expired and record.outcome is not None:
                 del self._records[key]
                 if isinstance(record.outcome, StoredAnswer):
                     self._stored -= len(record.outcome.body)
                 self._watermark = max(self._watermark, record.lease_expires)
 
     def seal(self):
-        """Accept no new key from now on."""
+        """Refuse new keys from now on."""
         self._sealed = True
 
     def export(self, incarnation, wall):
-        """Return the sealed table for peers; all executions must have finished.
+        """Return the :class:`SealedTable` that a peer keeps.
 
-        :raises RuntimeError: if the table is open or a key is still running.
+        :raises RuntimeError: if the table is not sealed or a key is still running.
         """
         if not self._sealed:
             raise RuntimeError("the table must be sealed first")
--- a/boragegw/decisions/_leases.py
+++ b/boragegw/decisions/_leases.py
@@ -1,7 +1,7 @@
-"""Leases: which process incarnation may run a key, proved by a MAC.
+"""Leases: which incarnation of a process may run a key, authenticated by a MAC.
 
-A key is ``<lease>.<the caller's own unique part>``. Every entry process that knows
-the peers' key can check a lease; none needs a table to know a key's home.
+A key is ``<lease>.<unique part chosen by the caller>``. Each entry process that has the
+peers' shared secret can verify a lease, and finds the home of a key without a table.
 """
 
 import base64
@@ -13,17 +13,18 @@
 
 _FIELDS = struct.Struct(">Qdd")
 _MAC_BYTES = 12
-KEY_LIMIT = 255
+MAX_KEY_CHARACTERS = 255
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lease:
-    """A caller's right to have keys run by one process.
+    """Permission of a caller to have its keys run by one process, their home.
 
-    :param incarnation: of the home, the process that may run the keys.
+    :param incarnation: incarnation of the home.
     :param address: ``host:port`` of the home's peer interface.
-    :param issued: wall seconds.
-    :param expires: wall seconds after which no new key is accepted.
+    :param issued: time of issue in seconds of the wall clock.
+    :param expires: time after which no new key is accepted, in seconds of the wall
+        clock.
     """
 
     incarnation: int
@@ -33,9 +34,9 @@
 
 
 class LeaseAuthority:
-    """Issues and reads leases.
+    """Encodes and verifies leases.
 
-    :param secret: the peers' shared key.
+    :param secret: secret shared by the peers, in bytes.
     """
 
     def __init__(self, secret):
@@ -46,14 +47,14 @@
         return digest[:_MAC_BYTES]
 
     def encode(self, lease):
-        """Return the text of a lease: letters, digits, ``-`` and ``_``."""
+        """Return the text form of a lease: letters, digits, ``-`` and ``_``."""
         fields = _FIELDS.pack(lease.incarnation, lease.issued, lease.expires)
         payload = fields + lease.address.encode()
         text = base64.urlsafe_b64encode(payload + self._mac(payload))
         return text.rstrip(b"=").decode()
 
     def decode(self, text):
-        """Return the lease in ``text``, or ``None`` if it is not a valid one."""
+        """Return the lease in ``text``, or ``None`` if it is invalid."""
         try:
             raw = base64.b64decode(
                 text + "=" * (-len(text) % 4), altchars=b"-_", validate=True
@@ -71,13 +72,15 @@
 
 
 def split_key(key):
-    """Return the lease text and the caller's own part of a key.
+    """Return the text of the lease and the unique part of a key.
 
-    :raises ValueError: if the key does not have both, or is too long.
+    :raises ValueError: if one of the two is missing, or the key is too long.
     """
-    if len(key) > KEY_LIMIT:
-        raise ValueError(f"key of {len(key)} characters, expected at most {KEY_LIMIT}")
-    text, separator, own = key.partition(".")
-    if not separator or not own or not own.isascii() or not own.isprintable():
+    if len(key) > MAX_KEY_CHARACTERS:
+        raise ValueError(
+            f"key of {len(key)} characters, expected at most {MAX_KEY_CHARACTERS}"
+        )
+    text, separator, unique = key.partition(".")
+    if not separator or not unique or not unique.isascii() or not unique.isprintable():
         raise ValueError("expected <lease>.<unique part>")
-    return text, own
+    return text, unique
--- a/boragegw/decisions/_membership.py
+++ b/boragegw/decisions/_membership.py
@@ -1,13 +1,13 @@
-"""Membership: what a heartbeat changes in the view of the other entries."""
+"""Membership: merges heartbeats into the view of the other entries."""
 
 from boragegw import blackboard, utils
 
 
 class MembershipPolicy(utils.Parameterized):
-    """Merges heartbeats and forgets the silent.
+    """Merges heartbeats and removes silent members.
 
-    :param forget_after: seconds of silence after which a peer is forgotten.
-    :param capacity: most peers remembered; a cap for every table.
+    :param forget_after: seconds without a heartbeat after which a member is removed.
+    :param capacity: maximum number of members kept, which bounds the table.
     """
 
     _parameter_constraints = {
@@ -20,13 +20,13 @@
         self.capacity = capacity
 
     def merge(self, section, incoming, now, age=0.0):
-        """Take in what was heard of one member; return whether it was news.
+        """Merge the received state of a member; return whether it was new.
 
-        A beat counts once: an old beat that arrives by a slow way, or is told by one
-        peer after another, does not make a dead member look alive.
+        Each heartbeat counts once. An old heartbeat that arrives late, or is forwarded
+        by one peer after another, does not make a dead member look alive.
 
         :param incoming: a :class:`~boragegw.blackboard.Member`.
-        :param age: seconds since the teller heard it.
+        :param age: seconds since the sender received the heartbeat.
         """
         self._check_params()
         known = section.members.get(incoming.incarnation)
@@ -46,7 +46,11 @@
         return True
 
     def merge_heartbeat_counter(self, section, incarnation, beat, now, age):
-        """Take in a bare beat; return False if the member is not known."""
+        """Merge a heartbeat without member data; return whether the member is known.
+
+        :param beat: heartbeat counter of the member.
+        :param age: seconds since the sender received the heartbeat.
+        """
         known = section.members.get(incarnation)
         if known is None:
             return False
@@ -65,13 +69,13 @@
                 member.state = blackboard.MemberState.STOPPED
 
     def sweep(self, section, now):
-        """Forget members that have been silent for long."""
+        """Remove members that have been silent for ``forget_after`` seconds."""
         for incarnation, member in list(section.members.items()):
             if now - member.heard_at > self.forget_after:
                 del section.members[incarnation]
 
     def live_entries(self, board, now):
-        """Return the entries callers may use: this one and the peers in sight."""
+        """Return the entries that callers may use: this one and its live peers."""
         serving = board.membership.serving(now)
         own = board.lifecycle.state is blackboard.MemberState.SERVING
         return self._listed(board, serving, own)
@@ -79,9 +83,10 @@
     def working_entries(self, board, now):
         """Return the entries that may send work to backend servers.
 
-        Guards against a gap while an entry leaves: its callers still come for a
-        while, so it must keep the cold backend servers that it warms, and no other
-        entry may warm them meanwhile. It hands them over when it takes no new work.
+        Guards against a gap in the warm-up of backend servers while an entry leaves.
+        Its callers still use it for a while, so it must keep the cold backend servers
+        that it warms up, and no other entry may warm them up meanwhile. It hands them
+        over when it accepts no more work.
         """
         working = board.membership.working(now)
         own = board.lifecycle.state in blackboard.WORKING
@@ -89,10 +94,10 @@
 
     @staticmethod
     def _listed(board, members, own):
-        """Return ``members`` by name, and this entry if ``own``.
+        """Return the latest incarnation of each member, and this entry if ``own``.
 
-        The platform's list lags: it can remove an entry (leaving) but its silence
-        never adds one; only a recent beat does.
+        The platform's list is delayed. It removes an entry that it marks as leaving,
+        but it never adds one; only a recent heartbeat does.
         """
         leaving = {
             vm.name
--- a/boragegw/decisions/_outlier_detection.py
+++ b/boragegw/decisions/_outlier_detection.py
@@ -1,15 +1,16 @@
-"""Demotion of slowed backend servers and ejection of those that fail fast."""
+"""Outlier detection: demotes and ejects backend servers that fail or shed load."""
 
 from boragegw import utils
 
 
 class OutlierDetectionPolicy(utils.Parameterized):
-    """Learns latencies; ejects on failures in a row.
+    """Tracks mean latencies and ejects backend servers after consecutive failures.
 
-    :param smoothing: weight of a new latency in the running mean.
+    :param smoothing: weight of a new latency in the moving average.
     :param failures: consecutive failures after which a backend server is ejected.
-    :param ejection: first ejection in seconds; doubled with each further failure.
-    :param ejection_limit: longest ejection in seconds.
+    :param ejection: seconds of the first ejection, doubled with each further failure;
+        also seconds of demotion after a failure that does not eject.
+    :param ejection_limit: maximum duration of an ejection in seconds.
     :param refusal_demotion: seconds of demotion after a backend server sheds a request.
     """
 
@@ -36,29 +37,29 @@
         self.refusal_demotion = refusal_demotion
 
     def observe_success(self, backend, service, latency):
-        """Learn the time to an answer's head."""
+        """Record the latency in seconds until the head of an answer."""
         self._check_params()
         backend.failures = 0
         backend.latency = self._smoothed(backend.latency, latency, self.smoothing)
         service.latency = self._smoothed(service.latency, latency, 0.02)
 
     def observe_failure(self, backend, now):
-        """Count a failure.
+        """Count a failure; demote or eject the backend server.
 
-        Guards against fail-fast: a backend server that fails at once has nothing in
-        flight and so looks like the least loaded one, and would draw all the work.
+        Guards against servers that fail fast. Such a server has nothing in flight,
+        looks like the least loaded one and would attract all requests.
         """
         self._check_params()
         backend.failures += 1
         excess = backend.failures - self.failures
         if excess >= 0:
-            length = min(self.ejection * 2 ** min(excess, 10), self.ejection_limit)
-            backend.ejected_until = now + length
+            duration = min(self.ejection * 2 ** min(excess, 10), self.ejection_limit)
+            backend.ejected_until = now + duration
         else:
             backend.demoted_until = now + self.ejection
 
     def observe_refusal(self, backend, now):
-        """Demote for a moment a backend server that sheds load."""
+        """Demote a backend server that sheds load for a short time."""
         self._check_params()
         backend.demoted_until = max(backend.demoted_until, now + self.refusal_demotion)
 
--- a/boragegw/decisions/_placement.py
+++ b/boragegw/decisions/_placement.py
@@ -1,6 +1,6 @@
-"""Placement: which of the admissible backend servers gets the request.
+"""Placement: which of the admissible backend servers gets a request.
 
-The baselines stay here to be measured against; see ``docs/decisions/placement.md``.
+The baselines serve for comparison in benchmarks; see ``docs/decisions/placement.md``.
 """
 
 import abc
@@ -9,7 +9,7 @@
 
 
 class PlacementPolicy(utils.Parameterized, abc.ABC):
-    """Chooses one of several backend servers."""
+    """Base class of the policies that choose a backend server for a request."""
 
     def choose(self, candidates, *, now, random_state):
         """Return one of ``candidates``, or ``None`` if there are none.
@@ -29,8 +29,8 @@
         """Return one of two or more candidates."""
 
 
-def _least(candidates, score, random_state):
-    """Return a candidate of the lowest score, drawn evenly among equals."""
+def _lowest(candidates, score, random_state):
+    """Return a candidate of the lowest score; ties are broken at random."""
     scores = [score(candidate) for candidate in candidates]
     lowest = min(scores)
     ties = [c for c, s in zip(candidates, scores, strict=True) if s == lowest]
@@ -38,14 +38,14 @@
 
 
 class RandomChoice(PlacementPolicy):
-    """Baseline: an even draw."""
+    """Baseline: uniform random choice."""
 
     def _choose(self, candidates, now, random_state):
         return random_state.choice(candidates)
 
 
 class RoundRobin(PlacementPolicy):
-    """Baseline: one after the other by name."""
+    """Baseline: the candidate chosen least recently; ties are broken by name."""
 
     def __init__(self):
         self._latest = {}
@@ -54,7 +54,7 @@
         return min(candidates, key=lambda c: (self._turn(c), c.name))
 
     def choose(self, candidates, *, now, random_state):
-        """Return the candidate whose last turn is longest ago."""
+        """Return the candidate that was chosen least recently."""
         chosen = super().choose(candidates, now=now, random_state=random_state)
         if chosen is not None:
             self._latest[chosen.name] = self._next_turn()
@@ -68,52 +68,53 @@
 
 
 class LeastOwnInFlight(PlacementPolicy):
-    """Baseline: fewest of this entry's own requests in flight."""
+    """Baseline: fewest requests of this entry in flight."""
 
     def _choose(self, candidates, now, random_state):
-        return _least(candidates, lambda c: c.own_in_flight, random_state)
+        return _lowest(candidates, lambda c: c.own_in_flight, random_state)
 
 
 class PowerOfTwoReports(PlacementPolicy):
-    """Baseline: the better of two by their last raw load report."""
+    """Baseline: the better of two random candidates by their latest load report."""
 
     def _choose(self, candidates, now, random_state):
         pair = random_state.sample(candidates, 2)
-        return _least(
+        return _lowest(
             pair, lambda c: c.report.in_flight if c.report else 0, random_state
         )
 
 
 class OracleLeastLoaded(PlacementPolicy):
-    """The limit: fewest requests in truth, which only a benchmark can know.
+    """Upper bound for benchmarks: lowest actual load, which no entry can know.
 
-    :param true_load: function from a backend server's name to its load.
+    :param true_load: function that returns the load of a backend server by its name.
     """
 
     def __init__(self, true_load):
         self.true_load = true_load
 
     def _choose(self, candidates, now, random_state):
-        return _least(candidates, lambda c: self.true_load(c.name), random_state)
+        return _lowest(candidates, lambda c: self.true_load(c.name), random_state)
 
 
 class LocalFirst(PlacementPolicy):
-    """Own data centre first, then fewest requests in flight.
+    """Prefers the own data centre, then the fewest requests in flight.
 
-    Each entry's own counts are nearly the truth for the backend servers that others
-    use only when theirs are full; so locality buys exactness besides distance.
-    Demoted backend servers come last.
+    Entries of other data centres use a backend server only when their own ones are
+    full, so an entry's own count of requests is nearly exact for its local servers.
+    Locality thus gives accurate counts in addition to a short distance. Demoted backend
+    servers come last.
 
-    :param data_centre: this entry's data centre; "" has no preference.
-    :param local_share: a local backend server is preferred while it has fewer own
-        requests than this share of its slots.
+    :param data_centre: data centre of this entry; "" for no preference.
+    :param local_share: a local backend server is preferred while this entry has fewer
+        requests in flight there than this share of its slots.
     :param peer_weight: weight of the peers' requests in the score.
-    :param report_weight: weight of what the last report shows beyond own and peers'
-        requests, halved with each ``report_half_life``.
+    :param report_weight: weight of the reported requests that neither this entry nor
+        its peers account for; halved with each ``report_half_life``.
     :param report_half_life: seconds.
-    :param horizon: seconds for which a peer's count is believed.
-    :param slow_age: a backend server is demoted while its oldest own request is
-        older than this many times the service's median latency; 0 is never.
+    :param horizon: seconds for which the count of a peer is valid.
+    :param slow_age: a backend server is demoted while the oldest request of this entry
+        there is older than this multiple of the server's warm latency; 0 for never.
     """
 
     _parameter_constraints = {
@@ -144,7 +145,7 @@
         self.slow_age = slow_age
 
     def _choose(self, candidates, now, random_state):
-        return _least(candidates, lambda c: self._score(c, now), random_state)
+        return _lowest(candidates, lambda c: self._score(c, now), random_state)
 
     def _score(self, candidate, now):
         local = (
@@ -165,11 +166,12 @@
     def _load(self, candidate, now):
         own = candidate.own_in_flight
         peers = candidate.peers_in_flight(now, self.horizon) * self.peer_weight
-        return own + peers + self._unexplained(candidate, own + peers, now)
+        return own + peers + self._unaccounted_load(candidate, own + peers, now)
 
-    def _unexplained(self, candidate, explained, now):
+    def _unaccounted_load(self, candidate, accounted, now):
+        """Return the weighted number of reported requests beyond ``accounted``."""
         if not self.report_weight or candidate.report is None:
             return 0.0
         age = now - candidate.report.received_at
-        trust = self.report_weight * 0.5 ** (age / self.report_half_life)
-        return max(0.0, candidate.report.in_flight - explained) * trust
+        weight = self.report_weight * 0.5 ** (age / self.report_half_life)
+        return max(0.0, candidate.report.in_flight - accounted) * weight
--- a/boragegw/decisions/_queueing.py
+++ b/boragegw/decisions/_queueing.py
@@ -1,4 +1,4 @@
-"""The queue of one service: bounded, aware of deadlines, shed by harm."""
+"""Queueing: a bounded queue for each service with deadlines and load shedding."""
 
 import dataclasses
 
@@ -9,10 +9,11 @@
 class QueuedRequest:
     """A request that waits for a backend server.
 
-    :param harm: rank of the harm of losing it; 0 is the least.
+    :param harm: rank of the harm caused by refusing the request; 0 is the least.
     :param deadline: monotonic seconds.
+    :param arrived: time of arrival in monotonic seconds.
     :param future: receives the backend server or an error.
-    :param excluded: names of backend servers tried before.
+    :param excluded: names of backend servers that were already tried.
     """
 
     harm: int
@@ -23,11 +24,12 @@
 
 
 class QueuePolicy(utils.Parameterized):
-    """Admits waiters, and sheds those of the lowest harm first.
+    """Admits requests to the queue and sheds those of the lowest harm first.
 
     :param deadline_share: a request is refused at once if the expected wait is more
-        than this share of its remaining time.
-    :param retry_after: least seconds that a refused caller is told to stay away.
+        than this share of the time to its deadline, unless the queue holds one of
+        lower harm.
+    :param retry_after: minimum time in seconds after which a refused caller may retry.
     """
 
     _parameter_constraints = {
@@ -40,48 +42,52 @@
         self.retry_after = retry_after
 
     def expected_wait(self, service):
-        """Return the seconds that a new waiter would wait, 0 if not known."""
+        """Return the expected wait of a new request in seconds; 0 if unknown."""
         if service.finish_rate <= 0:
             return 0.0
         return len(service.waiting) / service.finish_rate
 
-    def admit(self, service, waiter, now):
-        """Put ``waiter`` into the queue, or make room for it.
+    def admit(self, service, request, now):
+        """Add ``request`` to the queue; shed a request if the queue is then too long.
 
-        :returns: the waiters that are shed, perhaps ``waiter`` itself.
+        :param request: a :class:`QueuedRequest`.
+        :returns: the requests that are shed, possibly ``request`` itself.
         """
         self._check_params()
-        remaining = waiter.deadline - now
+        remaining = request.deadline - now
         if self.expected_wait(service) > self.deadline_share * remaining:
-            less_harmful = self._least_harm(service, below=waiter.harm)
+            less_harmful = self._least_harmful(service, below=request.harm)
             if less_harmful is None:
-                return [waiter]
-        service.waiting.append(waiter)
+                return [request]
+        service.waiting.append(request)
         if len(service.waiting) <= service.settings.queue_limit:
             return []
-        victim = self._least_harm(service)
-        service.waiting.remove(victim)
-        return [victim]
-
-    def _least_harm(self, service, below=None):
-        """Return the waiter of the lowest harm that came last."""
-        victim = None
-        for waiter in service.waiting:
-            if below is not None and waiter.harm >= below:
+        shed = self._least_harmful(service)
+        service.waiting.remove(shed)
+        return [shed]
+
+    def _least_harmful(self, service, below=None):
+        """Return the latest of the queued requests with the lowest harm.
+
+        :param below: harm that the request must be below, or ``None``.
+        """
+        least = None
+        for request in service.waiting:
+            if below is not None and request.harm >= below:
                 continue
-            if victim is None or waiter.harm <= victim.harm:
-                victim = waiter
-        return victim
+            if least is None or request.harm <= least.harm:
+                least = request
+        return least
 
     def remove_expired(self, service, now):
-        """Remove and return the waiters whose deadline has passed."""
-        late = [waiter for waiter in service.waiting if waiter.deadline <= now]
-        for waiter in late:
-            service.waiting.remove(waiter)
-        return late
+        """Remove and return the requests whose deadline has passed."""
+        expired = [request for request in service.waiting if request.deadline <= now]
+        for request in expired:
+            service.waiting.remove(request)
+        return expired
 
     def overload_error(self, service):
-        """Return the error for a waiter that is shed; it has not run."""
+        """Return the error for a request that is shed; its verdict is not-run."""
         wait = max(self.retry_after, self.expected_wait(service))
         return errors.RequestError.not_run(
             errors.Code.OVERLOADED,
--- a/boragegw/decisions/_readers.py
+++ b/boragegw/decisions/_readers.py
@@ -1,12 +1,18 @@
-"""Who reads the platform: a few entries of each data centre; the others listen."""
+"""Readers: the few entries of each data centre that watch the platform.
+
+The other entries learn of changes from their peers.
+"""
 
 from boragegw import utils
 
 
 class ReaderPolicy(utils.Parameterized):
-    """Chooses readers, so that reads grow with data centres and not with the fleet.
+    """Chooses the readers of each data centre.
+
+    The load on the platform thus grows with the number of data centres and not with
+    the number of entries.
 
-    :param readers: entries of each data centre that watch the platform.
+    :param readers: number of entries in each data centre that watch the platform.
     :param confirmation_timeout: seconds without a confirmation after which any entry
         reads the platform.
     """
@@ -23,7 +29,7 @@
     def is_reader(self, identity, members):
         """Return whether this entry watches the platform.
 
-        :param members: live entries, this one perhaps among them.
+        :param members: live entries, with or without this one.
         """
         self._check_params()
         local = [m for m in members if m.data_centre == identity.data_centre]
@@ -33,9 +39,9 @@
         return any(m.name == identity.name for m in ranked[: self.readers])
 
     def must_read(self, confirmed_at, now):
-        """Return whether an entry that is no reader has waited too long.
+        """Return whether an entry that is not a reader must read the platform itself.
 
-        Guards against readers that have died or are cut off: confirmations stop, and
-        a recall would wait for them.
+        Guards against readers that have crashed or lost their connection. Their
+        confirmations stop, and a recall would otherwise wait for them.
         """
         return now - confirmed_at > self.confirmation_timeout
--- a/boragegw/decisions/_retries.py
+++ b/boragegw/decisions/_retries.py
@@ -1,13 +1,13 @@
-"""Retries: whether a failed attempt may be followed by another."""
+"""Retries: whether a failed attempt is followed by another one."""
 
 from boragegw import utils
 
 
 class RetryPolicy(utils.Parameterized):
-    """Permits a further attempt by verdict, idempotency, budget and time.
+    """Permits retries by verdict, idempotency, budget and deadline.
 
-    :param attempts: most attempts of one request in this entry.
-    :param min_remaining_time: seconds that must remain to the deadline.
+    :param attempts: maximum number of attempts of a request in this entry.
+    :param min_remaining_time: seconds that must remain until the deadline.
     """
 
     _parameter_constraints = {
@@ -20,7 +20,7 @@
         self.min_remaining_time = min_remaining_time
 
     def credit(self, service):
-        """Credit the service's budgets for one new request."""
+        """Add the share of one new request to the service's budgets."""
         settings = service.settings
         service.retry_budget.add(settings.retry_budget)
         service.hedge_budget.add(settings.hedge_budget)
@@ -37,16 +37,17 @@
         deadline,
         now,
     ):
-        """Return whether to try again, and take a token if so.
+        """Return whether to retry a request; take a token if so.
 
-        Guards against a retry storm: while all attempts fail, each layer of a call up
-        to 15 deep would multiply the attempts. The budget bounds this entry's retries
-        to a share of its requests. ``retries_left`` bounds them along the depth:
-        callers pass it on, and each retry sets it to zero for the layers below.
+        Guards against a retry storm. While all attempts fail, each layer of a call
+        chain of up to 15 layers would multiply the attempts. The budget limits the
+        retries of this entry to a share of its requests. ``retries_left`` limits them
+        along the call chain: callers pass it on, and each retry sets it to zero for the
+        layers below.
 
-        :param verdict: of the failed attempt.
+        :param verdict: verdict of the failed attempt.
         :param attempts_made: attempts of the request so far in this entry.
-        :param retries_left: retries that the caller's layer still allows.
+        :param retries_left: number of retries that the caller still allows.
         :param deadline: monotonic seconds.
         """
         self._check_params()
--- a/boragegw/decisions/_slow_start.py
+++ b/boragegw/decisions/_slow_start.py
@@ -1,21 +1,22 @@
-"""Cold start: how much a backend server may get between cold and warm.
+"""Slow start: how many requests a backend server may get until it is warm.
 
-Unknown means cold. A report can lower trust and never prove room: growth needs both
-answers in time and the configured warm-up time.
+A server of unknown state counts as cold. A load report can reduce the allowance of a
+server but never raises it. Growth needs answers in time as well as the configured
+warm-up time.
 """
 
 from boragegw import blackboard, utils
 
 
 class SlowStartPolicy(utils.Parameterized):
-    """Turns backend servers cold on evidence and warms them on success.
-
-    :param growth: factor on the allowance for each answer in time.
-    :param slow_factor: an answer slower than this many times the service's usual
-        latency stops the growth.
-    :param cold_factor: an answer slower than this many times the backend server's
-        own warm latency is evidence that it is cold again.
-    :param cold_answers: consecutive such answers that turn it cold.
+    """Turns backend servers cold on evidence and warms them up on success.
+
+    :param growth: factor by which the allowance grows with each answer in time.
+    :param slow_factor: an answer that takes longer than this multiple of the mean
+        latency of the service does not increase the allowance.
+    :param cold_factor: an answer that takes longer than this multiple of the backend
+        server's warm latency is evidence that it is cold.
+    :param cold_answers: number of consecutive answers of this kind that turn it cold.
     """
 
     _parameter_constraints = {
@@ -33,10 +34,13 @@
         self._slow_answers = {}
 
     def turn_cold(self, backend, settings, now, wall):
-        """Make ``backend`` cold: its allowance starts again at the cold share.
+        """Make ``backend`` cold and reset its allowance to that of a cold server.
 
-        The epoch grows with each turn even if the wall clock does not, so that peers
-        never take the older turn for the newer one.
+        The epoch grows each time, even if the wall clock does not, so that peers never
+        take an older transition for a newer one.
+
+        :param now: monotonic seconds.
+        :param wall: seconds of the wall clock.
         """
         self._check_params()
         backend.phase = blackboard.Phase.COLD
@@ -47,7 +51,7 @@
         self._slow_answers.pop(backend.name, None)
 
     def observe_report(self, backend, settings, now, wall):
-        """Take the latest report as evidence; return whether it turned cold."""
+        """Evaluate the latest report; return whether it turned ``backend`` cold."""
         report = backend.report
         restarted = bool(backend.incarnation) and (
             report.incarnation != backend.incarnation
@@ -60,32 +64,34 @@
         return False
 
     def observe_success(self, backend, service, now, wall, latency):
-        """Learn from an answer in time; return whether the phase changed."""
+        """Record an answer in time; return whether the phase changed."""
         self._check_params()
         if backend.phase is blackboard.Phase.WARM:
             return self._check_warm(backend, service.settings, now, wall, latency)
         return self._grow(backend, service, now, latency)
 
     def observe_crash(self, backend, settings, now, wall):
-        """Take a broken or refused connection as evidence of a restart.
+        """Turn ``backend`` cold after a broken or refused connection.
+
+        Guards against full load on a backend server that has just restarted: its old
+        connections break before a report can show the restart.
 
-        Guards against full load on a backend server that has just come back: its
-        old connections break before any report can say so. Unknown means cold.
+        :returns: whether it was warm.
         """
         was_warm = backend.phase is blackboard.Phase.WARM
         self.turn_cold(backend, settings, now, wall)
         return was_warm
 
     def observe_refusal(self, backend, settings, now, wall):
-        """Fall back to the cold share when a cold backend server sheds load."""
+        """Reset the allowance of a cold backend server that sheds load."""
         if backend.phase is blackboard.Phase.COLD:
             self.turn_cold(backend, settings, now, wall)
 
     def _check_warm(self, backend, settings, now, wall, latency):
-        far_above = backend.warm_latency and (
+        too_slow = backend.warm_latency and (
             latency > self.cold_factor * backend.warm_latency
         )
-        if not far_above:
+        if not too_slow:
             self._slow_answers.pop(backend.name, None)
             previous = backend.warm_latency or latency
             backend.warm_latency = previous + 0.05 * (latency - previous)
@@ -99,10 +105,10 @@
 
     def _grow(self, backend, service, now, latency):
         settings = service.settings
-        says_cold = backend.report is not None and backend.report.cold
-        usual = service.latency
-        slow = usual > 0 and latency > self.slow_factor * usual
-        if says_cold or slow:
+        reports_cold = backend.report is not None and backend.report.cold
+        mean = service.latency
+        slow = mean > 0 and latency > self.slow_factor * mean
+        if reports_cold or slow:
             return False
         full = backend.vm.slots * settings.in_flight_factor
         ceiling = self._ceiling(backend, settings, now, full)
@@ -116,9 +122,9 @@
         return False
 
     def _ceiling(self, backend, settings, now, full):
-        """Return the most that the time since the turn to cold permits."""
+        """Return the maximum allowance for the time since ``backend`` turned cold."""
         if settings.warm_up <= 0:
             return full
-        done = min(1.0, (now - backend.cold_since) / settings.warm_up)
+        progress = min(1.0, (now - backend.cold_since) / settings.warm_up)
         start = min(settings.cold_in_flight, backend.vm.slots)
-        return start + (full - start) * done
+        return start + (full - start) * progress
--- a/boragegw/decisions/_subset.py
+++ b/boragegw/decisions/_subset.py
@@ -1,15 +1,16 @@
-"""Which entry VMs serve a service, and which one warms a backend server."""
+"""Subsetting: which entry VMs serve a service, and which one warms up a server."""
 
 from boragegw import utils
 
 
 class SubsetPolicy(utils.Parameterized):
-    """Rendezvous choice of a few entries for each service.
+    """Chooses a few entries for each service by rendezvous hashing.
 
-    Few entries for a service keep each one's own counts near the truth. The choice
-    depends on names alone, so all entries with the same view agree without talking.
+    With few entries for a service, each entry's own request counts are nearly exact.
+    The choice depends only on names, so all entries with the same view of the members
+    agree without communication.
 
-    :param spares: entries named to callers behind the subset.
+    :param spares: number of entries that callers get in addition to the subset.
     """
 
     _parameter_constraints = {"spares": utils.Interval(int, 0, 100)}
@@ -18,17 +19,17 @@
         self.spares = spares
 
     def subset(self, service, members, size):
-        """Return the entries that serve ``service``: one in each data centre first.
+        """Return the entries that serve ``service``, at least one in each data centre.
 
         :param members: live entries, this one included.
-        :param size: entries wanted; data centres in sight may make it more.
+        :param size: number of entries to choose; more if there are more data centres.
         """
         self._check_params()
         ranked = utils.rank(service, members, identity=lambda member: member.name)
-        firsts = {}
+        first_by_data_centre = {}
         for member in ranked:
-            firsts.setdefault(member.data_centre, member)
-        chosen = {member.name for member in firsts.values()}
+            first_by_data_centre.setdefault(member.data_centre, member)
+        chosen = {member.name for member in first_by_data_centre.values()}
         for member in ranked:
             if len(chosen) >= size:
                 break
@@ -38,10 +39,10 @@
     def for_caller(self, service, members, size, caller, data_centre=""):
         """Return entries in the order in which ``caller`` should try them.
 
-        Callers are spread over the subset by their own hash; a caller that names its
-        data centre gets the entries there first.
+        Callers are distributed over the subset by a hash of their identity. A caller
+        that states its data centre gets the entries there first.
 
-        :param caller: any stable text that tells callers apart.
+        :param caller: stable text that identifies the caller.
         """
         subset = self.subset(service, members, size)
         ordered = utils.rank(
@@ -57,14 +58,15 @@
         return ordered + rest[: self.spares]
 
     def warmer(self, vm, subset, listed_data_centres):
-        """Return the entry that may send to the cold backend server ``vm``.
+        """Return the entry that warms up the cold backend server ``vm``, or ``None``.
 
-        Guards against two warmers in a partition between data centres: the two sides
-        see different entries, and both would load a server that bears one share. The
-        warmer is an entry of the server's own data centre, which is on one side only.
-        An entry elsewhere warms it only where the platform lists no entry VM there.
+        Only this entry may send requests to it. Guards against two such entries during
+        a network partition between data centres: the two sides see different entries,
+        and both would send to a server that can handle the load of one. The entry is in
+        the server's own data centre, which is on one side only. An entry elsewhere is
+        chosen only if the platform lists no entry VM in that data centre.
 
-        :param subset: entries of the service that are in sight.
+        :param subset: live entries of the service.
         :param listed_data_centres: data centres in which the platform lists entry VMs.
         """
         local = [m for m in subset if m.data_centre == vm.data_centre]
--- a/boragegw/decisions/tests/test_common.py
+++ b/boragegw/decisions/tests/test_common.py
@@ -1,4 +1,4 @@
-"""One check suite for all decision classes, and one for all placement policies."""
+"""Common tests of all policies, and of all placement policies."""
 
 import random
 
@@ -46,9 +46,9 @@
 @pytest.mark.parametrize("instance", PARAMETERIZED, ids=_name)
 def test_constructor_stores_parameters_under_their_names(instance):
     params = instance.get_params()
-    again = type(instance)(**params)
-    assert again.get_params() == params
-    assert repr(again) == repr(instance)
+    clone = type(instance)(**params)
+    assert clone.get_params() == params
+    assert repr(clone) == repr(instance)
 
 
 @pytest.mark.parametrize("instance", PARAMETERIZED, ids=_name)
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("instance", PARAMETERIZED, ids=_name)
-def test_value_outside_its_constraint_is_named_at_use(instance):
+def test_error_of_an_invalid_parameter_names_it_and_its_constraint(instance):
     for name, constraint in instance._parameter_constraints.items():
         copy = type(instance)(**instance.get_params())
         copy.set_params(**{name: "text"})
@@ -68,17 +68,17 @@
         assert str(constraint) in str(caught.value)
 
 
-def test_repr_shows_only_what_differs_from_the_defaults():
+def test_repr_shows_only_parameters_that_differ_from_their_defaults():
     assert repr(decisions.LocalFirst()) == "LocalFirst()"
     assert repr(decisions.LocalFirst(slow_age=2.0)) == "LocalFirst(slow_age=2.0)"
 
 
 @pytest.mark.parametrize("policy", PLACEMENTS, ids=_name)
 class TestPlacement:
-    def test_no_candidate_gives_none(self, policy):
+    def test_choice_without_candidates_is_none(self, policy):
         assert policy.choose([], now=0.0, random_state=random.Random(1)) is None
 
-    def test_choice_is_a_candidate_and_changes_nothing(self, policy):
+    def test_choice_is_a_candidate_and_leaves_the_candidates_unchanged(self, policy):
         candidates = [make_backend(f"b{i}", own=i % 2) for i in range(5)]
         for seed in range(20):
             chosen = policy.choose(
@@ -89,11 +89,11 @@
 
     def test_same_random_state_gives_the_same_choice(self, policy):
         def choices():
-            fresh = type(policy)(**policy.get_params())
-            draw = random.Random(5)
+            clone = type(policy)(**policy.get_params())
+            random_state = random.Random(5)
             candidates = [make_backend(f"b{i}") for i in range(6)]
             return [
-                fresh.choose(candidates, now=1.0, random_state=draw).name
+                clone.choose(candidates, now=1.0, random_state=random_state).name
                 for _ in range(10)
             ]
 
@@ -104,17 +104,17 @@
     policy = decisions.LocalFirst("dc-b")
     near = make_backend("near", "dc-b", own=1)
     far = make_backend("far", "dc-a", own=0)
-    draw = random.Random(1)
-    assert policy.choose([near, far], now=0.0, random_state=draw) is near
+    random_state = random.Random(1)
+    assert policy.choose([near, far], now=0.0, random_state=random_state) is near
     near.own_in_flight = 2
-    assert policy.choose([near, far], now=0.0, random_state=draw) is far
+    assert policy.choose([near, far], now=0.0, random_state=random_state) is far
 
 
-def test_demoted_backend_is_used_only_where_nothing_else_has_room():
+def test_demoted_backend_is_used_only_if_there_is_no_other_candidate():
     policy = decisions.LocalFirst("dc-a")
     demoted = make_backend("demoted", "dc-a")
     demoted.demoted_until = 10.0
     busy = make_backend("busy", "dc-b", own=1)
-    draw = random.Random(1)
-    assert policy.choose([demoted, busy], now=5.0, random_state=draw) is busy
-    assert policy.choose([demoted], now=5.0, random_state=draw) is demoted
+    random_state = random.Random(1)
+    assert policy.choose([demoted, busy], now=5.0, random_state=random_state) is busy
+    assert policy.choose([demoted], now=5.0, random_state=random_state) is demoted
--- a/boragegw/decisions/tests/test_examples.py
+++ b/boragegw/decisions/tests/test_examples.py
@@ -17,8 +17,8 @@
 
 
 @pytest.mark.parametrize("name", sorted(EXPECTED))
-def test_example_shows_what_it_says(name, capsys):
+def test_example_prints_the_expected_lines(name, capsys):
     runpy.run_path(str(EXAMPLES / name))
-    shown = capsys.readouterr().out
-    for words in EXPECTED[name]:
-        assert words in shown
+    output = capsys.readouterr().out
+    for text in EXPECTED[name]:
+        assert text in output
--- a/boragegw/decisions/tests/test_idempotency.py
+++ b/boragegw/decisions/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Leases and the table of keys."""
+"""Leases and the table of idempotency keys."""
 
 import pytest
 
@@ -17,7 +17,7 @@
     table.finish(admission.record, outcome or stored)
 
 
-def test_lease_survives_its_text_form():
+def test_decoding_returns_the_encoded_lease():
     authority = decisions.LeaseAuthority(SECRET)
     text = authority.encode(lease())
     assert authority.decode(text) == lease()
@@ -26,17 +26,17 @@
 
 @pytest.mark.parametrize("position", [0, 5, 20, -1])
 def test_changed_lease_is_refused(position):
-    """A caller that makes up leases could have a process run keys it never issued."""
+    """With a forged lease a caller could have a process run keys it never leased."""
     authority = decisions.LeaseAuthority(SECRET)
     text = authority.encode(lease())
     changed = "A" if text[position] != "A" else "B"
     rest = text[position + 1 :] if position >= 0 else ""
-    spoiled = text[:position] + changed + rest
-    assert authority.decode(spoiled) is None
+    tampered = text[:position] + changed + rest
+    assert authority.decode(tampered) is None
 
 
 @pytest.mark.parametrize("text", ["", "x", "not base64!", "A" * 300, "é"])
-def test_foreign_text_is_no_lease(text):
+def test_malformed_text_is_not_decoded(text):
     assert decisions.LeaseAuthority(SECRET).decode(text) is None
 
 
@@ -51,27 +51,27 @@
         decisions.split_key(key)
 
 
-def test_first_arrival_runs_then_joins_then_replays():
+def test_first_request_runs_and_later_ones_join_or_replay():
     table = decisions.KeyTable()
     first = table.admit("k", lease(), 1.0)
     assert first.kind is KIND.RUN
     assert table.admit("k", lease(), 1.0).kind is KIND.JOIN
     finish(table, first)
-    again = table.admit("k", lease(), 2.0)
-    assert again.kind is KIND.REPLAY
-    assert again.record.outcome.body == b"done"
+    replayed = table.admit("k", lease(), 2.0)
+    assert replayed.kind is KIND.REPLAY
+    assert replayed.record.outcome.body == b"done"
 
 
-def test_expired_lease_gives_no_new_run_and_says_not_run():
+def test_new_key_of_an_expired_lease_is_refused_as_not_run():
     table = decisions.KeyTable()
     refused = table.admit("k", lease(expires=5.0), 6.0)
     assert refused.error.code is errors.Code.LEASE_EXPIRED
     assert refused.error.verdict is errors.Verdict.NOT_RUN
 
 
-def test_forgotten_record_is_never_called_not_run():
-    """A filer who asks again after an hour is told that the return was not run,
-    files it anew and is charged twice. The record was there, and had expired.
+def test_key_of_an_evicted_record_is_never_reported_as_not_run():
+    """The record of a request has been evicted when its caller sends the key again.
+    A caller who is told "not run" sends the request with a new key, and it runs twice.
     """
     table = decisions.KeyTable(retention=10.0)
     finish(table, table.admit("k", lease(expires=5.0), 1.0))
@@ -89,7 +89,7 @@
     assert table.admit("k", lease(expires=5.0), 100.0).kind is KIND.JOIN
 
 
-def test_full_table_refuses_new_keys_and_keeps_the_old_ones():
+def test_full_table_refuses_new_keys_and_keeps_its_records():
     table = decisions.KeyTable(limit=1)
     finish(table, table.admit("old", lease(), 1.0))
     refused = table.admit("new", lease(), 1.0)
@@ -98,11 +98,12 @@
     assert table.admit("old", lease(), 1.0).kind is KIND.REPLAY
 
 
-def test_key_refused_by_a_full_table_stays_refused_when_there_is_room():
-    """A supervisor is told "not run", files anew, and both claims are billed.
+def test_key_refused_by_a_full_table_stays_refused_after_eviction():
+    """A caller is told "not run" and sends the request again with a new key.
 
-    The table was full when the first copy came; a second copy was delayed on its way
-    and arrives when there is room. The fence refuses it; a new lease works.
+    The table was full when the first copy arrived. A delayed second copy arrives after
+    records have been evicted and would make the request run twice. The fence refuses
+    it; a key of a new lease is accepted.
     """
     table = decisions.KeyTable(limit=1, retention=1.0)
     finish(table, table.admit("old", lease(expires=2.0), 1.0))
@@ -118,20 +119,20 @@
     table = decisions.KeyTable()
     error = errors.RequestError.not_run(errors.Code.OVERLOADED, "full")
     assert table.refuse("k", lease(), error, 1.0) is error
-    again = table.admit("k", lease(), 2.0)
-    assert again.kind is KIND.REPLAY
-    assert again.record.outcome is error
+    replayed = table.admit("k", lease(), 2.0)
+    assert replayed.kind is KIND.REPLAY
+    assert replayed.record.outcome is error
 
 
-def test_refusal_of_a_running_key_does_not_claim_that_it_did_not_run():
+def test_refusal_of_a_running_key_is_reported_as_may_have_run():
     table = decisions.KeyTable()
     table.admit("k", lease(), 1.0)
     error = errors.RequestError.not_run(errors.Code.OVERLOADED, "full")
-    told = table.refuse("k", lease(), error, 1.0)
-    assert told.verdict is errors.Verdict.MAY_HAVE_RUN
+    reported = table.refuse("k", lease(), error, 1.0)
+    assert reported.verdict is errors.Verdict.MAY_HAVE_RUN
 
 
-def test_answers_beyond_the_byte_budget_are_not_kept_but_ran():
+def test_answer_beyond_the_byte_limit_is_reported_as_run_but_not_kept():
     table = decisions.KeyTable(stored_bytes=3)
     admission = table.admit("k", lease(), 1.0)
     finish(table, admission)
@@ -140,7 +141,7 @@
     assert outcome.verdict is errors.Verdict.RAN
 
 
-def test_sealed_table_answers_for_its_process():
+def test_sealed_table_decides_for_its_stopped_process():
     table = decisions.KeyTable()
     finish(table, table.admit("done", lease(), 1.0))
     table.seal()
@@ -152,7 +153,7 @@
     assert sealed.keep_until == 600.0 + table.retention
 
 
-def test_table_with_a_running_key_is_not_handed_over():
+def test_open_table_or_one_with_a_running_key_is_not_exported():
     table = decisions.KeyTable()
     table.admit("k", lease(), 1.0)
     with pytest.raises(RuntimeError, match="sealed first"):
--- a/boragegw/decisions/tests/test_slow_start.py
+++ b/boragegw/decisions/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Cold start, step by step."""
+"""Slow start of backend servers, and the evidence that turns them cold."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from boragegw.decisions.tests import test_admission, test_common
 
 
-def make(phase="cold", slots=6, **settings):
+def make_slow_start(phase="cold", slots=6, **settings):
     backend = test_common.make_backend("b", slots=slots, phase=phase)
     defaults = {"warm_up": 10.0, "cold_in_flight": 1, **settings}
     service = test_admission.make_service([backend], **defaults)
@@ -18,14 +18,15 @@
     return blackboard.LoadReport(0, cold, False, incarnation, 0.0)
 
 
-def succeed(ramp, backend, service, now, latency=0.01, times=1):
+def observe_successes(policy, backend, service, now, latency=0.01, times=1):
     changed = [
-        ramp.observe_success(backend, service, now, now, latency) for _ in range(times)
+        policy.observe_success(backend, service, now, now, latency)
+        for _ in range(times)
     ]
     return any(changed)
 
 
-def test_unknown_server_is_cold_and_bears_the_cold_share():
+def test_server_of_unknown_state_is_cold():
     backend = blackboard.BackendState(
         blackboard.VirtualMachine("b", "backend", "10.0.0.1:1", "dc-a")
     )
@@ -33,68 +34,74 @@
     assert backend.allowance == 1.0
 
 
-def test_growth_is_bound_by_time_however_many_answers_come():
-    ramp, backend, service = make()
-    succeed(ramp, backend, service, 1.0, times=100)
+def test_growth_is_limited_by_time_regardless_of_the_number_of_answers():
+    policy, backend, service = make_slow_start()
+    observe_successes(policy, backend, service, 1.0, times=100)
     assert backend.allowance == pytest.approx(1 + 5 * 0.1)
-    succeed(ramp, backend, service, 5.0, times=100)
+    observe_successes(policy, backend, service, 5.0, times=100)
     assert backend.allowance == pytest.approx(3.5)
 
 
-def test_warm_needs_the_time_and_the_answers():
-    ramp, backend, service = make()
-    assert not succeed(ramp, backend, service, 9.9, times=100)
+def test_server_turns_warm_after_the_warm_up_time_and_enough_answers():
+    policy, backend, service = make_slow_start()
+    assert not observe_successes(policy, backend, service, 9.9, times=100)
     assert backend.phase is blackboard.Phase.COLD
-    assert succeed(ramp, backend, service, 10.0, times=20)
+    assert observe_successes(policy, backend, service, 10.0, times=20)
     assert backend.phase is blackboard.Phase.WARM
 
 
-@pytest.mark.parametrize("reason", ["says cold", "slow"])
-def test_no_growth_against_evidence(reason):
-    ramp, backend, service = make()
-    backend.report = report(cold=reason == "says cold")
+@pytest.mark.parametrize("reason", ["reports cold", "slow"])
+def test_no_growth_on_evidence_that_the_server_is_cold(reason):
+    policy, backend, service = make_slow_start()
+    backend.report = report(cold=reason == "reports cold")
     latency = 0.2 if reason == "slow" else 0.01
-    succeed(ramp, backend, service, 5.0, latency, times=50)
+    observe_successes(policy, backend, service, 5.0, latency, times=50)
     assert backend.allowance == 1.0
 
 
 EVIDENCE = {
-    "report says cold": lambda ramp, b, s: take_report(ramp, b, s, cold=True),
-    "new incarnation": lambda ramp, b, s: take_report(ramp, b, s, incarnation="two"),
-    "broken connection": lambda ramp, b, s: ramp.observe_crash(b, s.settings, 1, 1),
-    "many answers far too slow": lambda ramp, b, s: succeed(ramp, b, s, 1, 0.2, 8),
+    "report of a cold server": lambda policy, b, s: observe_report(
+        policy, b, s, cold=True
+    ),
+    "new incarnation": lambda policy, b, s: observe_report(
+        policy, b, s, incarnation="two"
+    ),
+    "broken connection": lambda policy, b, s: policy.observe_crash(b, s.settings, 1, 1),
+    "consecutive slow answers": lambda policy, b, s: observe_successes(
+        policy, b, s, 1, 0.2, 8
+    ),
 }
 
 
-def take_report(ramp, backend, service, **fields):
+def observe_report(policy, backend, service, **fields):
     backend.report = report(**fields)
-    return ramp.observe_report(backend, service.settings, 1.0, 1.0)
+    return policy.observe_report(backend, service.settings, 1.0, 1.0)
 
 
 @pytest.mark.parametrize("kind", sorted(EVIDENCE))
-def test_warm_server_turns_cold_without_warning(kind):
-    """Filings time out on a server that has just restarted and falls over.
+def test_warm_server_turns_cold_on_evidence(kind):
+    """Requests time out on a warm server that restarts without announcement.
 
-    It was warm, nobody announced the restart, and full load went on.
+    It keeps getting full load while cold, and crashes.
     """
-    ramp, backend, service = make("warm")
+    policy, backend, service = make_slow_start("warm")
     backend.incarnation, backend.warm_latency = "one", 0.01
-    assert EVIDENCE[kind](ramp, backend, service)
+    assert EVIDENCE[kind](policy, backend, service)
     assert backend.phase is blackboard.Phase.COLD
     assert backend.allowance == 1.0
 
 
-def test_refusal_while_ramping_falls_back_to_the_cold_share():
-    ramp, backend, service = make()
-    succeed(ramp, backend, service, 5.0, times=50)
-    ramp.observe_refusal(backend, service.settings, 5.0, 5.0)
+def test_refusal_during_slow_start_resets_the_allowance():
+    policy, backend, service = make_slow_start()
+    observe_successes(policy, backend, service, 5.0, times=50)
+    policy.observe_refusal(backend, service.settings, 5.0, 5.0)
     assert backend.allowance == 1.0
     assert backend.cold_since == 5.0
 
 
-def test_epoch_grows_with_each_turn_even_if_the_clock_stands():
-    ramp, backend, service = make("warm")
-    ramp.turn_cold(backend, service.settings, 1.0, 7.0)
+def test_epoch_grows_with_each_transition_even_if_the_clock_stands():
+    policy, backend, service = make_slow_start("warm")
+    policy.turn_cold(backend, service.settings, 1.0, 7.0)
     first = backend.cold_epoch
-    ramp.turn_cold(backend, service.settings, 1.0, 7.0)
+    policy.turn_cold(backend, service.settings, 1.0, 7.0)
     assert backend.cold_epoch == first + 1
