--- a/boragegw/balancing/_policies.py
+++ b/boragegw/balancing/_policies.py
@@ -2,22 +2,22 @@
 
 from boragegw import utils
 from boragegw.balancing import (
+    _asking,
     _hedging,
     _priorities,
-    _probing,
     _shedding,
     _slowness,
-    _warmup,
+    _warming,
 )
 
 #: Policies with configurable parameters, by their name in the settings.
 POLICIES = {
-    "asking": _probing.ProbingPolicy,
+    "asking": _asking.ProbingPolicy,
     "hedging": _hedging.LatencyHedgePolicy,
     "pace": _slowness.SlownessEstimator,
     "ranks": _priorities.PriorityDistribution,
     "shedding": _shedding.SheddingPolicy,
-    "warmup": _warmup.WarmupPolicy,
+    "warmup": _warming.WarmupPolicy,
 }
 #: Parameters that disable a mechanism, by policy and name, for each mechanism.
 DISABLING_PARAMETERS = {
--- a/boragegw/balancing/_priorities.py
+++ b/boragegw/balancing/_priorities.py
@@ -36,17 +36,15 @@
         self._check_params()
         self._decay(now)
         total = sum(self._counts.values())
-        less_urgent = sum(
-            count for other, count in self._counts.items() if other > priority
-        )
-        return total > 0 and less_urgent >= self.least_share * total
+        less = sum(count for rank, count in self._counts.items() if rank > priority)
+        return total > 0 and less >= self.least_share * total
 
     def _decay(self, now):
         elapsed = now - self._updated_at
         if elapsed > 0:
             factor = 0.5 ** (elapsed / HALF_LIFE_SECONDS)
-            for priority in self._counts:
-                self._counts[priority] *= factor
+            for rank in self._counts:
+                self._counts[rank] *= factor
         self._updated_at = now
 
 
@@ -66,6 +64,4 @@
 
     def is_most_urgent(self, priority):
         """Return whether no request of a more urgent priority waits."""
-        return not any(
-            count > 0 for other, count in self._waiting.items() if other < priority
-        )
+        return not any(n > 0 for rank, n in self._waiting.items() if rank < priority)
--- a/boragegw/balancing/_slowness.py
+++ b/boragegw/balancing/_slowness.py
@@ -65,18 +65,18 @@
         self._seconds.append(max(self.least, seconds))
         if len(self._seconds) < self.MIN_SAMPLES:
             return 1.0
-        return min(self.most, max(1.0, self._seconds[-1] / self._usual_seconds()))
+        return min(self.most, max(1.0, self._seconds[-1] / self._usual()))
 
     def wants_new_connection(self, random_state):
         """Return whether the next probe should use a new connection."""
         if len(self._seconds) < self.MIN_SAMPLES:
             return True
-        limit = self.SLOW_RATIO * self._usual_seconds()
+        limit = self.SLOW_RATIO * self._usual()
         slow = sum(seconds > limit for seconds in self._seconds)
         if slow >= self.slow_share * len(self._seconds):
             return True
         return random_state.random() < self.explore_share
 
-    def _usual_seconds(self):
+    def _usual(self):
         ordered = sorted(self._seconds)
         return ordered[int(self.usual_quantile * (len(ordered) - 1))]
--- a/boragegw/balancing/tests/test_balancing.py
+++ b/boragegw/balancing/tests/test_balancing.py
@@ -101,7 +101,7 @@
     policy = balancing.ProbingPolicy(most=8, wave=2)
     servers = [server(str(n)) for n in range(12)]
 
-    def probe_count(saturation, allowed=99):
+    def asked(saturation, allowed=99):
         waves = policy.waves(
             servers,
             allowed=allowed,
@@ -111,9 +111,9 @@
         )
         return sum(len(wave) for wave in waves)
 
-    assert probe_count(0.0) == 8
-    assert probe_count(1.0) == 2
-    assert probe_count(0.0, allowed=3) == 3
+    assert asked(0.0) == 8
+    assert asked(1.0) == 2
+    assert asked(0.0, allowed=3) == 3
 
 
 def test_probes_of_all_processes_stay_within_the_budget():
@@ -121,13 +121,13 @@
     Without the limit the probes would occupy the slots that the requests need.
     """
     fleet = [balancing.ProbeBudget(60.0) for _ in range(17)]
-    sent = 0
+    asked = 0
     for step in range(10_000):
         budget = fleet[step % 17]
-        probes = min(8, budget.remaining(step * 0.002, 20, 17))
-        budget.take(probes)
-        sent += probes
-    assert sent / 20.0 / 20 <= 60
+        questions = min(8, budget.remaining(step * 0.002, 20, 17))
+        budget.take(questions)
+        asked += questions
+    assert asked / 20.0 / 20 <= 60
 
 
 def test_unhealthy_servers_are_used_if_no_other_is_left():
@@ -135,9 +135,9 @@
     its servers answer. Refusing all requests would turn the error into an outage.
     """
     servers = [server(str(n), unhealthy_until=10.0) for n in range(3)]
-    healthy = server("well")
-    assert balancing.available_servers([*servers, healthy], now=0.0, evacuated=()) == [
-        healthy
+    well = server("well")
+    assert balancing.available_servers([*servers, well], now=0.0, evacuated=()) == [
+        well
     ]
     assert balancing.available_servers(servers, now=0.0, evacuated=()) == servers
 
@@ -158,18 +158,18 @@
     stay within a fifth of the requests plus the slack.
     """
     fleet = [balancing.RetryBudget(0.2, 50.0, 10.0) for _ in range(17)]
-    retries, requests = [], []
+    repeats, requests = [], []
     for step in range(3000):
         now = step * 0.02
         budget = fleet[step % 17]
         budget.observe_request(now)
         requests.append(now)
         while budget.take(now, 17):
-            retries.append(now)
+            repeats.append(now)
     for start in range(0, 50):
-        spent = sum(start <= moment < start + 10 for moment in retries)
-        received = sum(start <= moment < start + 10 for moment in requests)
-        assert spent <= 0.2 * received + 50
+        spent = sum(start <= moment < start + 10 for moment in repeats)
+        asked = sum(start <= moment < start + 10 for moment in requests)
+        assert spent <= 0.2 * asked + 50
 
 
 def test_hedges_leave_budget_for_retries_after_failures():
@@ -192,9 +192,9 @@
     sent = []
     for step in range(1000):
         now = step * 0.01
-        for policy, random_state in fleet:
+        for policy, drawn in fleet:
             if policy.permits(
-                cold, processes=13, rate=3.6, now=now, random_state=random_state
+                cold, processes=13, rate=3.6, now=now, random_state=drawn
             ):
                 sent.append(now)
     for start in range(9):
@@ -260,24 +260,24 @@
     """A configuration holds less urgent routes that nobody uses. Compared with those,
     every request would count as urgent, and all would wait longer without benefit.
     """
-    distribution = balancing.PriorityDistribution()
+    mix = balancing.PriorityDistribution()
     for number in range(100):
-        distribution.observe(1, number / 100)
-    distribution.observe(5, 1.0)
-    assert not distribution.is_urgent(1, 1.0)
+        mix.observe(1, number / 100)
+    mix.observe(5, 1.0)
+    assert not mix.is_urgent(1, 1.0)
     for number in range(30):
-        distribution.observe(2, 1.0 + number / 100)
-    assert distribution.is_urgent(1, 1.3)
-    assert not distribution.is_urgent(2, 1.3)
+        mix.observe(2, 1.0 + number / 100)
+    assert mix.is_urgent(1, 1.3)
+    assert not mix.is_urgent(2, 1.3)
     assert not balancing.PriorityDistribution().is_urgent(0, 1.0)
 
 
 def test_less_urgent_requests_wait_behind_more_urgent_ones():
-    waiting = balancing.WaitingCounts()
-    waiting.enter(2)
-    assert waiting.is_most_urgent(2)
-    waiting.enter(1)
-    assert not waiting.is_most_urgent(2)
-    assert waiting.is_most_urgent(1)
-    waiting.leave(1)
-    assert waiting.is_most_urgent(2)
+    line = balancing.WaitingCounts()
+    line.enter(2)
+    assert line.is_most_urgent(2)
+    line.enter(1)
+    assert not line.is_most_urgent(2)
+    assert line.is_most_urgent(1)
+    line.leave(1)
+    assert line.is_most_urgent(2)
--- a/boragegw/decisions/tests/test_slow_start.py
+++ b/boragegw/decisions/tests/test_slow_start.py
@@ -6,7 +6,7 @@
 from boragegw.decisions.tests import test_admission, test_common
 
 
-def make_slow_start(phase="cold", slots=6, **settings):
+def make(phase="cold", slots=6, **settings):
     backend = test_common.make_backend("b", slots=slots, phase=phase)
     defaults = {"warm_up": 10.0, "cold_in_flight": 1, **settings}
     service = test_admission.make_service([backend], **defaults)
@@ -18,10 +18,9 @@
     return blackboard.LoadReport(0, cold, False, incarnation, 0.0)
 
 
-def observe_successes(policy, backend, service, now, latency=0.01, times=1):
+def succeed(ramp, backend, service, now, latency=0.01, times=1):
     changed = [
-        policy.observe_success(backend, service, now, now, latency)
-        for _ in range(times)
+        ramp.observe_success(backend, service, now, now, latency) for _ in range(times)
     ]
     return any(changed)
 
@@ -35,47 +34,41 @@
 
 
 def test_growth_is_limited_by_time_regardless_of_the_number_of_answers():
-    policy, backend, service = make_slow_start()
-    observe_successes(policy, backend, service, 1.0, times=100)
+    ramp, backend, service = make()
+    succeed(ramp, backend, service, 1.0, times=100)
     assert backend.allowance == pytest.approx(1 + 5 * 0.1)
-    observe_successes(policy, backend, service, 5.0, times=100)
+    succeed(ramp, backend, service, 5.0, times=100)
     assert backend.allowance == pytest.approx(3.5)
 
 
 def test_server_turns_warm_after_the_warm_up_time_and_enough_answers():
-    policy, backend, service = make_slow_start()
-    assert not observe_successes(policy, backend, service, 9.9, times=100)
+    ramp, backend, service = make()
+    assert not succeed(ramp, backend, service, 9.9, times=100)
     assert backend.phase is blackboard.Phase.COLD
-    assert observe_successes(policy, backend, service, 10.0, times=20)
+    assert succeed(ramp, backend, service, 10.0, times=20)
     assert backend.phase is blackboard.Phase.WARM
 
 
 @pytest.mark.parametrize("reason", ["reports cold", "slow"])
 def test_no_growth_on_evidence_that_the_server_is_cold(reason):
-    policy, backend, service = make_slow_start()
+    ramp, backend, service = make()
     backend.report = report(cold=reason == "reports cold")
     latency = 0.2 if reason == "slow" else 0.01
-    observe_successes(policy, backend, service, 5.0, latency, times=50)
+    succeed(ramp, backend, service, 5.0, latency, times=50)
     assert backend.allowance == 1.0
 
 
 EVIDENCE = {
-    "report of a cold server": lambda policy, b, s: observe_report(
-        policy, b, s, cold=True
-    ),
-    "new incarnation": lambda policy, b, s: observe_report(
-        policy, b, s, incarnation="two"
-    ),
-    "broken connection": lambda policy, b, s: policy.observe_crash(b, s.settings, 1, 1),
-    "consecutive slow answers": lambda policy, b, s: observe_successes(
-        policy, b, s, 1, 0.2, 8
-    ),
+    "report of a cold server": lambda ramp, b, s: take_report(ramp, b, s, cold=True),
+    "new incarnation": lambda ramp, b, s: take_report(ramp, b, s, incarnation="two"),
+    "broken connection": lambda ramp, b, s: ramp.observe_crash(b, s.settings, 1, 1),
+    "consecutive slow answers": lambda ramp, b, s: succeed(ramp, b, s, 1, 0.2, 8),
 }
 
 
-def observe_report(policy, backend, service, **fields):
+def take_report(ramp, backend, service, **fields):
     backend.report = report(**fields)
-    return policy.observe_report(backend, service.settings, 1.0, 1.0)
+    return ramp.observe_report(backend, service.settings, 1.0, 1.0)
 
 
 @pytest.mark.parametrize("kind", sorted(EVIDENCE))
@@ -84,24 +77,24 @@
 
     It keeps getting full load while cold, and crashes.
     """
-    policy, backend, service = make_slow_start("warm")
+    ramp, backend, service = make("warm")
     backend.incarnation, backend.warm_latency = "one", 0.01
-    assert EVIDENCE[kind](policy, backend, service)
+    assert EVIDENCE[kind](ramp, backend, service)
     assert backend.phase is blackboard.Phase.COLD
     assert backend.allowance == 1.0
 
 
 def test_refusal_during_slow_start_resets_the_allowance():
-    policy, backend, service = make_slow_start()
-    observe_successes(policy, backend, service, 5.0, times=50)
-    policy.observe_refusal(backend, service.settings, 5.0, 5.0)
+    ramp, backend, service = make()
+    succeed(ramp, backend, service, 5.0, times=50)
+    ramp.observe_refusal(backend, service.settings, 5.0, 5.0)
     assert backend.allowance == 1.0
     assert backend.cold_since == 5.0
 
 
 def test_epoch_grows_with_each_transition_even_if_the_clock_stands():
-    policy, backend, service = make_slow_start("warm")
-    policy.turn_cold(backend, service.settings, 1.0, 7.0)
+    ramp, backend, service = make("warm")
+    ramp.turn_cold(backend, service.settings, 1.0, 7.0)
     first = backend.cold_epoch
-    policy.turn_cold(backend, service.settings, 1.0, 7.0)
+    ramp.turn_cold(backend, service.settings, 1.0, 7.0)
     assert backend.cold_epoch == first + 1
