--- a/boragegw/balancing/_asking.py
+++ b/boragegw/balancing/_asking.py
@@ -39,6 +39,8 @@
 class ProbingPolicy(utils.Parameterized):
     """Probes candidates in small waves until one of them is acceptable.
 
+    Settings name this policy ``asking``.
+
     :param data_centre: data centre of this process. Its servers are preferred at nearly
         equal cost, which saves 1.8 ms a request and traffic between data centres.
     :param wave: candidates probed at the same time.
--- a/boragegw/balancing/_priorities.py
+++ b/boragegw/balancing/_priorities.py
@@ -16,7 +16,7 @@
     urgent.
 
     :param least_share: a request is urgent if at least this share of the recent
-        requests has a lower priority.
+        requests is less urgent.
     """
 
     _parameter_constraints = {"least_share": utils.Interval(float, 0, 1)}
