--- a/boragegw/balancing/tests/test_policies.py
+++ b/boragegw/balancing/tests/test_policies.py
@@ -23,7 +23,7 @@
     with pytest.raises(utils.InvalidParameterError, match="expected"):
         balancing.PolicySettings(parameters).check()
     with pytest.raises(errors.ConfigurationError, match="expected"):
-        _settings._policies(json.dumps(parameters))
+        _settings._load_policy_parameters(json.dumps(parameters))
 
 
 @pytest.mark.parametrize("mechanism", sorted(balancing.SWITCHES))
--- a/boragegw/cli/_check.py
+++ b/boragegw/cli/_check.py
@@ -33,7 +33,7 @@
     """
     if path.is_dir():
         return check_folder(path)
-    if platform.is_settings(path):
+    if platform.is_settings_file(path):
         platform.load_settings(path)
         return "settings of the users' platform"
     data = configuration.load_jsonc(path)
--- a/boragegw/cli/_serve.py
+++ b/boragegw/cli/_serve.py
@@ -21,7 +21,7 @@
 
 def run(options):
     """Run the command."""
-    if platform.is_settings(options.settings):
+    if platform.is_settings_file(options.settings):
         return asyncio.run(platform.PlatformProcess(options.settings).run())
     settings = configuration.load_settings(options.settings)
     operations.configure_logging(settings.observation.log_level, settings.entry.name)
--- a/boragegw/platform/__init__.py
+++ b/boragegw/platform/__init__.py
@@ -5,11 +5,15 @@
 from boragegw.platform._endpoints import Endpoints
 from boragegw.platform._process import (
     PlatformProcess,
-    assemble,
+    build_gateway,
     main,
     open_endpoints,
 )
-from boragegw.platform._settings import PlatformSettings, is_settings, load_settings
+from boragegw.platform._settings import (
+    PlatformSettings,
+    is_settings_file,
+    load_settings,
+)
 from boragegw.platform._store import StoreClient
 
 __all__ = [
@@ -19,8 +23,8 @@
     "PlatformProcess",
     "PlatformSettings",
     "StoreClient",
-    "assemble",
-    "is_settings",
+    "build_gateway",
+    "is_settings_file",
     "load_settings",
     "main",
     "open_endpoints",
--- a/boragegw/platform/_endpoints.py
+++ b/boragegw/platform/_endpoints.py
@@ -37,12 +37,12 @@
     """Handlers of the platform's calls.
 
     :param process: the :class:`~boragegw.gateway.Gateway`.
-    :param keep_for: seconds for which callers keep an answer.
+    :param max_ttl: longest seconds for which callers may cache a resolution.
     """
 
-    def __init__(self, process, keep_for):
+    def __init__(self, process, max_ttl):
         self.process = process
-        self.keep_for = min(KEEP_FOR, keep_for)
+        self.ttl = min(KEEP_FOR, max_ttl)
 
     async def ready(self, request):
         """Answer 200 while requests are accepted."""
@@ -58,7 +58,7 @@
         addresses = self.process.entries_for(data_centre)
         if not addresses:
             return gateway.Reply(503)
-        body = msgspec.json.encode(Resolution(addresses, self.keep_for))
+        body = msgspec.json.encode(Resolution(addresses, self.ttl))
         return gateway.Reply(200, body)
 
     async def status(self, request):
--- a/boragegw/platform/_process.py
+++ b/boragegw/platform/_process.py
@@ -14,7 +14,7 @@
 EXIT_BAD_SETTINGS = 2
 
 
-def assemble(settings, log, now, random_state=None):
+def build_gateway(settings, log, now, random_state=None):
     """Return a :class:`~boragegw.gateway.Gateway` for this platform.
 
     :param settings: :class:`PlatformSettings`.
@@ -36,7 +36,7 @@
 
 async def open_endpoints(process, settings):
     """Listen for what the platform, callers and peers ask; return the listeners."""
-    endpoints = _endpoints.Endpoints(process, settings.keep_for)
+    endpoints = _endpoints.Endpoints(process, settings.max_ttl)
     wanted = [
         (endpoints.ready, settings.ready),
         (endpoints.resolve, settings.directory),
@@ -77,7 +77,7 @@
         self._settings = _settings.load_settings(self.path)
         self._stat = _stamp(self.path)
         log = gateway.EventLog(self._settings.gateway.name, loop.time)
-        self.process = assemble(self._settings, log, loop.time)
+        self.process = build_gateway(self._settings, log, loop.time)
         await self.process.start(self._front_socket())
         self._listeners = await open_endpoints(self.process, self._settings)
         watch = loop.create_task(self._watch_settings())
--- a/boragegw/platform/_settings.py
+++ b/boragegw/platform/_settings.py
@@ -26,7 +26,7 @@
     :param control: ``(host, port)`` for operators; ``None`` if it serves none.
     :param metrics: ``(host, port)`` for scrapers: the second internal port, ``None``
         if there is only one.
-    :param keep_for: longest seconds that callers may keep an address.
+    :param max_ttl: longest seconds for which callers may cache an address.
     """
 
     gateway: gateway.GatewaySettings
@@ -35,7 +35,7 @@
     directory: tuple
     control: tuple | None
     metrics: tuple | None
-    keep_for: float
+    max_ttl: float
 
 
 def load_settings(path):
@@ -52,7 +52,7 @@
     return _Reader(path, data).settings()
 
 
-def is_settings(path):
+def is_settings_file(path):
     """Return whether the file at ``path`` is the platform's settings of a process."""
     try:
         data = _decoded(path)
@@ -76,7 +76,7 @@
         raise msgspec.DecodeError(str(error)) from error
 
 
-def _policies(text):
+def _load_policy_parameters(text):
     """Return the parameters of policies in the environment, checked."""
     if not text:
         return {}
@@ -109,7 +109,7 @@
             directory=self.address("listen.directory"),
             control=self.address("listen.control", required=False),
             metrics=self._metrics_address(ports),
-            keep_for=self.number("bounds.ttl_max_s", 5.0),
+            max_ttl=self.number("bounds.ttl_max_s", 5.0),
         )
 
     def _metrics_address(self, ports):
@@ -135,7 +135,7 @@
             repeat_window=self.number("bounds.retry_window_s", 10.0),
             probe_rate=self.number("bounds.probes_per_s", 20.0),
             repeat_slack=self.number("bounds.retry_budget_slack", 20.0),
-            policies=_policies(os.environ.get(POLICIES_VARIABLE, "")),
+            policies=_load_policy_parameters(os.environ.get(POLICIES_VARIABLE, "")),
         )
 
     def string(self, key):
--- a/boragegw/platform/tests/test_settings.py
+++ b/boragegw/platform/tests/test_settings.py
@@ -139,7 +139,7 @@
 address = "10.200.1.7:8541"
 """
     path = write(tmp_path, text)
-    assert platform.is_settings(path)
+    assert platform.is_settings_file(path)
     settings = platform.load_settings(path)
     assert settings.gateway.front == ("10.1.0.34", 8548)
     assert settings.metrics == ("10.1.0.34", 7541)
@@ -148,6 +148,6 @@
 @pytest.mark.parametrize("text", ["node = ", "{", "\xff\xfe", "no settings at all"])
 def test_text_in_neither_form_is_refused_in_one_line(tmp_path, text):
     path = write(tmp_path, text)
-    assert not platform.is_settings(path)
+    assert not platform.is_settings_file(path)
     with pytest.raises(errors.ConfigurationError, match="node.json"):
         platform.load_settings(path)
--- a/boragegw/standins/_wire_world.py
+++ b/boragegw/standins/_wire_world.py
@@ -133,7 +133,7 @@
             directory=(name, DIRECTORY_PORT),
             control=(name, CONTROL_PORT),
             metrics=(name, METRICS_PORT),
-            keep_for=5.0,
+            max_ttl=5.0,
         )
         if limited:
             self.network.set_link(name, settings.gateway.link)
@@ -145,7 +145,7 @@
             settings.gateway.name, self.loop.time, os.open(os.devnull, os.O_WRONLY)
         )
         random_state = random.Random(f"{self.seed} {settings.gateway.name}")
-        process = platform.assemble(settings, log, self.loop.time, random_state)
+        process = platform.build_gateway(settings, log, self.loop.time, random_state)
         await process.start()
         await platform.open_endpoints(process, settings)
         self.processes[settings.gateway.name] = process
