--- a/boragegw/platform/_documents.py
+++ b/boragegw/platform/_decoder.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from boragegw import balancing, gateway
-from boragegw.platform import _names, _records
+from boragegw.platform import _schemas, _wire_names
 
 #: An ``upload`` is a large body that may run once at most.
 KINDS = {
@@ -15,7 +15,7 @@
 STATES = frozenset(("ready", "draining"))
 
 
-class DocumentDecoder(gateway.Decoder):
+class RecordDecoder(gateway.Decoder):
     """Reads records; what cannot be read is logged and costs only itself.
 
     :param log: an :class:`~boragegw.gateway.EventLog`.
@@ -23,24 +23,24 @@
 
     def __init__(self, log):
         self.log = log
-        self._server = msgspec.json.Decoder(_records.WireServer)
-        self._configuration = msgspec.json.Decoder(_records.WireConfiguration)
-        self._parts = _records.PartReader(log)
+        self._server = msgspec.json.Decoder(_schemas.WireServer)
+        self._configuration = msgspec.json.Decoder(_schemas.WireConfiguration)
+        self._parts = _schemas.PartReader(log)
 
     def listing(self, record):
         """Return the backend server in a record, or ``None``."""
-        if not record.key.startswith(_names.SERVERS_PREFIX):
+        if not record.key.startswith(_wire_names.SERVERS_PREFIX):
             return None
         try:
             wire = self._server.decode(record.value)
-            return _listing(record.key.removeprefix(_names.SERVERS_PREFIX), wire)
+            return _listing(record.key.removeprefix(_wire_names.SERVERS_PREFIX), wire)
         except (msgspec.DecodeError, ValueError) as error:
             self.log.event("foreign-entry", key=record.key, reason=str(error))
             return None
 
     def configuration(self, record):
         """Return the configuration in a record, or ``None``."""
-        if record.key != _names.CONFIGURATION_KEY:
+        if record.key != _wire_names.CONFIGURATION_KEY:
             return None
         try:
             return self._read_configuration(self._configuration.decode(record.value))
@@ -50,16 +50,16 @@
 
     def evacuated(self, record):
         """Return the data centre that the record takes out, or ``None``."""
-        if not record.key.startswith(_names.EVACUATION_PREFIX):
+        if not record.key.startswith(_wire_names.EVACUATION_PREFIX):
             return None
-        return record.key.removeprefix(_names.EVACUATION_PREFIX)
+        return record.key.removeprefix(_wire_names.EVACUATION_PREFIX)
 
     def _read_configuration(self, wire):
         read = self._parts.read
         version = _version(wire.version)
-        services = [read(_records.WireService, raw) for raw in wire.services]
-        routes = [read(_records.WireRoute, raw) for raw in wire.routes]
-        limits = read(_records.WireLimits, wire.limits) or _records.WireLimits()
+        services = [read(_schemas.WireService, raw) for raw in wire.services]
+        routes = [read(_schemas.WireRoute, raw) for raw in wire.routes]
+        limits = read(_schemas.WireLimits, wire.limits) or _schemas.WireLimits()
         return balancing.Configuration(
             version=version,
             routes=balancing.RouteTable(self._route(r) for r in routes if r),
--- a/boragegw/platform/_dialect.py
+++ b/boragegw/platform/_dialect.py
@@ -1,7 +1,7 @@
 """The platform's spelling of requests and answers."""
 
 from boragegw import balancing, gateway
-from boragegw.platform import _names
+from boragegw.platform import _wire_names
 
 #: Headers that concern one connection only, or that this process sets itself.
 DROPPED_FROM_REQUESTS = frozenset(
@@ -17,8 +17,8 @@
         b"upgrade",
         b"expect",
         b"content-length",
-        _names.DEADLINE_MS,
-        _names.EXPECTED_SERVER,
+        _wire_names.DEADLINE_MS,
+        _wire_names.EXPECTED_SERVER,
     )
 )
 MISDIRECTED = 421
@@ -39,11 +39,11 @@
 
     def request_id(self, headers):
         """Return the request's id as bytes, empty if it has none."""
-        return _value(headers, _names.REQUEST_ID) or b""
+        return _value(headers, _wire_names.REQUEST_ID) or b""
 
     def patience(self, headers):
         """Return the seconds that the caller waits, or ``None``."""
-        value = _value(headers, _names.DEADLINE_MS)
+        value = _value(headers, _wire_names.DEADLINE_MS)
         return None if value is None else _seconds(value)
 
     def request_head(self, request, server, seconds_left):
@@ -56,8 +56,8 @@
             if name not in DROPPED_FROM_REQUESTS and name not in named
         ]
         milliseconds = max(1, int(seconds_left * 1000))
-        lines.append(_names.DEADLINE_MS + b": %d" % milliseconds)
-        lines.append(_names.EXPECTED_SERVER + b": " + server.identity.encode())
+        lines.append(_wire_names.DEADLINE_MS + b": %d" % milliseconds)
+        lines.append(_wire_names.EXPECTED_SERVER + b": " + server.identity.encode())
         if request.body or request.method not in (b"GET", b"HEAD", b"DELETE"):
             lines.append(b"content-length: %d" % len(request.body))
         return b"\r\n".join(lines) + b"\r\n\r\n"
@@ -74,21 +74,21 @@
         Only answers to requests carry a request's id or a signature.
         """
         headers = answer.headers
-        return _value(headers, _names.SIGNATURE) is None and not _value(
-            headers, _names.REQUEST_ID
+        return _value(headers, _wire_names.SIGNATURE) is None and not _value(
+            headers, _wire_names.REQUEST_ID
         )
 
     def answers_request(self, answer, request_id):
         """Return whether ``answer`` belongs to the request with that id."""
-        echoed = _value(answer.headers, _names.REQUEST_ID)
+        echoed = _value(answer.headers, _wire_names.REQUEST_ID)
         if echoed is not None:
             return echoed == request_id
         return not 200 <= answer.status < 300
 
     def read_health(self, answer, now):
         """Return the :class:`~boragegw.gateway.HealthAnswer` in ``answer``."""
-        identity = _value(answer.headers, _names.SERVER_IDENTITY)
-        cold = _value(answer.headers, _names.COLD_MS)
+        identity = _value(answer.headers, _wire_names.SERVER_IDENTITY)
+        cold = _value(answer.headers, _wire_names.COLD_MS)
         return gateway.HealthAnswer(
             healthy=answer.status == 200,
             identity="" if identity is None else identity.decode("latin-1"),
@@ -98,7 +98,7 @@
 
     def read_report(self, answer, now):
         """Return the load report on any answer, or ``None``."""
-        value = _value(answer.headers, _names.LOAD)
+        value = _value(answer.headers, _wire_names.LOAD)
         if value is None:
             return None
         parts = value.split(b",")
@@ -114,7 +114,7 @@
     def is_not_run(self, answer):
         """Return whether the backend server says that it did not run the request."""
         return answer.status == MISDIRECTED or (
-            _value(answer.headers, _names.NOT_RUN) is not None
+            _value(answer.headers, _wire_names.NOT_RUN) is not None
         )
 
     def is_other_server(self, answer):
@@ -123,7 +123,7 @@
 
     def is_authentic(self, answer):
         """Return whether a backend server made the answer."""
-        return _value(answer.headers, _names.SIGNATURE) is not None
+        return _value(answer.headers, _wire_names.SIGNATURE) is not None
 
     def refusal(self, status, request_id, retry_after=None, close=False):
         """Return the bytes of an answer of our own."""
--- a/boragegw/platform/_process.py
+++ b/boragegw/platform/_process.py
@@ -7,7 +7,7 @@
 import sys
 
 from boragegw import errors, gateway
-from boragegw.platform import _dialect, _documents, _endpoints, _settings, _store
+from boragegw.platform import _decoder, _dialect, _endpoints, _settings, _store_client
 
 #: Seconds between looks at the settings file, which may change without a signal.
 SETTINGS_INTERVAL = 2.0
@@ -25,8 +25,8 @@
     return gateway.Gateway(
         settings.gateway,
         _dialect.PlatformDialect(),
-        _documents.DocumentDecoder(log),
-        _store.StoreClient(settings.store, now, board.counters, log),
+        _decoder.RecordDecoder(log),
+        _store_client.StoreClient(settings.store, now, board.counters, log),
         board=board,
         log=log,
         now=now,
--- a/boragegw/platform/tests/test_documents.py
+++ b/boragegw/platform/tests/test_decoder.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies
 
 from boragegw import balancing, gateway, standins
-from boragegw.platform import _documents, _records
+from boragegw.platform import _decoder, _schemas
 
 in_memory = standins.in_memory
 
@@ -64,7 +64,7 @@
 def decode(document):
     """Return the configuration in ``document``, or ``None``, and the events' kinds."""
     notes = Notes()
-    decoder = _documents.DocumentDecoder(notes)
+    decoder = _decoder.RecordDecoder(notes)
     value = json.dumps(document).encode()
     record = gateway.Record("op/config", value, 1)
     return decoder.configuration(record), notes.kinds
@@ -210,7 +210,7 @@
     """Field by field, thousands of routes hold up all requests."""
     by_field = []
     monkeypatch.setattr(
-        _records.PartReader, "_read_by_field", lambda *part: by_field.append(part)
+        _schemas.PartReader, "_read_by_field", lambda *part: by_field.append(part)
     )
     configuration, notes = decode(DOCUMENT)
     assert len(configuration.routes) == len(DOCUMENT["routes"])
--- a/boragegw/platform/tests/test_delayed_reports.py
+++ b/boragegw/platform/tests/test_delayed_reports.py
@@ -7,7 +7,7 @@
 
 from boragegw import gateway, standins
 from boragegw.gateway.tests import test_catalogue
-from boragegw.platform import _documents
+from boragegw.platform import _decoder
 
 in_memory = standins.in_memory
 
@@ -183,9 +183,7 @@
 @pytest.mark.parametrize("in_trouble", [True, False])
 def test_leaving_that_another_process_tells_of_a_missing_server_counts(in_trouble):
     """Its entry was away here; what was told then was lost to the older report."""
-    source = test_catalogue.catalogue(
-        _documents.DocumentDecoder(test_catalogue.Lines())
-    )
+    source = test_catalogue.catalogue(_decoder.RecordDecoder(test_catalogue.Lines()))
     source.adopt_snapshot(gateway.Reading([record(7, "ready", 1)], 1))
     if in_trouble:
         source.trouble_at = source.now()
