--- a/boragegw/platform/_decoder.py
+++ b/boragegw/platform/_decoder.py
@@ -1,22 +1,22 @@
-"""Published records decoded once into the product's types."""
+"""Decodes records of the store into the gateway's types."""
 
 import msgspec
 
 from boragegw import balancing, gateway
 from boragegw.platform import _schemas, _wire_names
 
-#: An ``upload`` is a large body that may run once at most.
-KINDS = {
+#: An ``upload`` has a large body and is executed at most once.
+ROUTE_KINDS = {
     "safe": balancing.RouteKind.SAFE,
     "unsafe": balancing.RouteKind.NON_IDEMPOTENT,
     "upload": balancing.RouteKind.NON_IDEMPOTENT,
     "download": balancing.RouteKind.DOWNLOAD,
 }
-STATES = frozenset(("ready", "draining"))
+SERVER_STATES = frozenset(("ready", "draining"))
 
 
 class RecordDecoder(gateway.Decoder):
-    """Reads records; what cannot be read is logged and costs only itself.
+    """Decodes records; invalid ones are logged and skipped.
 
     :param log: an :class:`~boragegw.gateway.EventLog`.
     """
@@ -25,81 +25,85 @@
         self.log = log
         self._server = msgspec.json.Decoder(_schemas.WireServer)
         self._configuration = msgspec.json.Decoder(_schemas.WireConfiguration)
-        self._parts = _schemas.PartReader(log)
+        self._part_decoder = _schemas.LenientDecoder(log)
 
     def listing(self, record):
-        """Return the backend server in a record, or ``None``."""
+        """Return the listing of a backend server in a record, or ``None``."""
         if not record.key.startswith(_wire_names.SERVERS_PREFIX):
             return None
         try:
             wire = self._server.decode(record.value)
-            return _listing(record.key.removeprefix(_wire_names.SERVERS_PREFIX), wire)
+            return _to_listing(
+                record.key.removeprefix(_wire_names.SERVERS_PREFIX), wire
+            )
         except (msgspec.DecodeError, ValueError) as error:
             self.log.event("foreign-entry", key=record.key, reason=str(error))
             return None
 
     def configuration(self, record):
-        """Return the configuration in a record, or ``None``."""
+        """Return the configuration in a record, or ``None`` if there is none."""
         if record.key != _wire_names.CONFIGURATION_KEY:
             return None
         try:
-            return self._read_configuration(self._configuration.decode(record.value))
+            return self._to_configuration(self._configuration.decode(record.value))
         except (msgspec.DecodeError, ValueError) as error:
             self.log.event("invalid-configuration", reason=str(error))
             return None
 
     def evacuated(self, record):
-        """Return the data centre that the record takes out, or ``None``."""
+        """Return the data centre that the record evacuates, or ``None``."""
         if not record.key.startswith(_wire_names.EVACUATION_PREFIX):
             return None
         return record.key.removeprefix(_wire_names.EVACUATION_PREFIX)
 
-    def _read_configuration(self, wire):
-        read = self._parts.read
-        version = _version(wire.version)
-        services = [read(_schemas.WireService, raw) for raw in wire.services]
-        routes = [read(_schemas.WireRoute, raw) for raw in wire.routes]
-        limits = read(_schemas.WireLimits, wire.limits) or _schemas.WireLimits()
+    def _to_configuration(self, wire):
+        decode = self._part_decoder.decode
+        version = _parse_version(wire.version)
+        services = [decode(_schemas.WireService, raw) for raw in wire.services]
+        routes = [decode(_schemas.WireRoute, raw) for raw in wire.routes]
+        limits = decode(_schemas.WireLimits, wire.limits) or _schemas.WireLimits()
         return balancing.Configuration(
             version=version,
-            routes=balancing.RouteTable(self._route(r) for r in routes if r),
-            services={s.name: _service(s) for s in services if s},
-            limits=_limits(limits),
+            routes=balancing.RouteTable(self._to_route(r) for r in routes if r),
+            services={s.name: _service_settings(s) for s in services if s},
+            limits=_caller_limits(limits),
         )
 
-    def _route(self, wire):
-        """Return a route; one whose services cannot be read keeps its place.
+    def _to_route(self, wire):
+        """Return a route; one without valid services is kept, with no services.
 
-        Guards against requests that run at the wrong service: without the route they
-        would match a shorter prefix.
+        Without the route its requests would match a shorter prefix and be sent to the
+        wrong service.
         """
         return balancing.Route(
             name=wire.name,
             host=balancing.bare_host(wire.host),
             prefix=wire.prefix,
-            kind=self._kind(wire),
+            kind=self._route_kind(wire),
             timeout=wire.timeout_s,
             target_latency=wire.target_latency_s,
             priority=wire.priority,
             max_attempts=wire.max_attempts,
-            parts=_parts(wire),
+            parts=_weighted_services(wire),
         )
 
-    def _kind(self, wire):
-        """Return what may be repeated; of an unknown kind nothing may."""
-        kind = KINDS.get(wire.route_type)
+    def _route_kind(self, wire):
+        """Return the route kind; an unknown one is treated as non-idempotent."""
+        kind = ROUTE_KINDS.get(wire.route_type)
         if kind is None:
             self.log.event("unknown-kind", route=wire.name, stated=wire.route_type)
             return balancing.RouteKind.NON_IDEMPOTENT
         return kind
 
 
-def _listing(identity, wire):
+def _to_listing(identity, wire):
     host, _, port = wire.address.rpartition(":")
     if not host or not port.isdigit():
         raise ValueError(f"address {wire.address!r}: expected host:port")
-    if wire.status.state not in STATES:
-        raise ValueError(f"state {wire.status.state!r}: expected {sorted(STATES)}")
+    if wire.status.state not in SERVER_STATES:
+        raise ValueError(
+            f"state {wire.status.state!r}: expected {sorted(SERVER_STATES)}"
+        )
     return balancing.Listing(
         identity=identity,
         service=wire.info.service,
@@ -114,13 +118,13 @@
     )
 
 
-def _version(text):
+def _parse_version(text):
     if not text.startswith("r") or not text[1:].isdigit():
-        raise ValueError(f"version {text!r}: expected r and a number")
+        raise ValueError(f"version {text!r}: expected 'r' and a number")
     return int(text[1:])
 
 
-def _service(wire):
+def _service_settings(wire):
     return balancing.ServiceSettings(
         name=wire.name,
         health_path=wire.health_path,
@@ -130,7 +134,7 @@
     )
 
 
-def _parts(wire):
+def _weighted_services(wire):
     if wire.traffic_split:
         return tuple(
             balancing.WeightedService(part.service, part.weight)
@@ -141,7 +145,7 @@
     return ()
 
 
-def _limits(wire):
+def _caller_limits(wire):
     return balancing.CallerLimits(
         header_bytes=wire.max_header_bytes,
         body_bytes=wire.max_body_bytes,
--- a/boragegw/platform/_dialect.py
+++ b/boragegw/platform/_dialect.py
@@ -1,10 +1,10 @@
-"""The platform's spelling of requests and answers."""
+"""Formats requests and interprets responses as the platform defines them."""
 
 from boragegw import balancing, gateway
 from boragegw.platform import _wire_names
 
-#: Headers that concern one connection only, or that this process sets itself.
-DROPPED_FROM_REQUESTS = frozenset(
+#: Hop-by-hop headers and headers that this process sets itself.
+HEADERS_NOT_FORWARDED = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -18,11 +18,11 @@
         b"expect",
         b"content-length",
         _wire_names.DEADLINE_MS,
-        _wire_names.EXPECTED_SERVER,
+        _wire_names.EXPECTED_INSTANCE,
     )
 )
-MISDIRECTED = 421
-STATUS_TEXT = {
+MISDIRECTED_REQUEST = 421
+REASON_PHRASES = {
     400: "Bad Request",
     404: "Not Found",
     408: "Request Timeout",
@@ -35,70 +35,70 @@
 
 
 class PlatformDialect(gateway.Dialect):
-    """Requests and answers as the platform's pages spell them."""
+    """HTTP headers and status codes of the platform."""
 
     def request_id(self, headers):
-        """Return the request's id as bytes, empty if it has none."""
-        return _value(headers, _wire_names.REQUEST_ID) or b""
+        """Return the request ID as bytes, empty if the header is missing."""
+        return _header_value(headers, _wire_names.REQUEST_ID) or b""
 
     def patience(self, headers):
-        """Return the seconds that the caller waits, or ``None``."""
-        value = _value(headers, _wire_names.DEADLINE_MS)
-        return None if value is None else _seconds(value)
+        """Return the caller's deadline in seconds, or ``None`` if it set none."""
+        value = _header_value(headers, _wire_names.DEADLINE_MS)
+        return None if value is None else _parse_milliseconds(value)
 
     def request_head(self, request, server, seconds_left):
-        """Return the head of a request as it is sent to ``server``."""
-        named = _connection_options(request.headers)
+        """Return the request line and headers of a request to ``server``."""
+        connection_options = _connection_options(request.headers)
         lines = [request.method + b" " + request.target + b" HTTP/1.1"]
         lines += [
             name + b": " + value
             for name, value in request.headers
-            if name not in DROPPED_FROM_REQUESTS and name not in named
+            if name not in HEADERS_NOT_FORWARDED and name not in connection_options
         ]
         milliseconds = max(1, int(seconds_left * 1000))
         lines.append(_wire_names.DEADLINE_MS + b": %d" % milliseconds)
-        lines.append(_wire_names.EXPECTED_SERVER + b": " + server.identity.encode())
+        lines.append(_wire_names.EXPECTED_INSTANCE + b": " + server.identity.encode())
         if request.body or request.method not in (b"GET", b"HEAD", b"DELETE"):
             lines.append(b"content-length: %d" % len(request.body))
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
     def health_question(self, service, server):
-        """Return the bytes that ask ``server`` for its load."""
+        """Return the bytes of a health probe to ``server``."""
         host, port = server.listing.address
         head = f"GET {service.health_path} HTTP/1.1\r\nhost: {host}:{port}\r\n\r\n"
         return head.encode()
 
     def answers_health(self, answer):
-        """Return whether ``answer`` belongs to a question for load.
+        """Return whether ``answer`` is the response to a health probe.
 
-        Only answers to requests carry a request's id or a signature.
+        Only responses to requests carry a request ID or a signature.
         """
         headers = answer.headers
-        return _value(headers, _wire_names.SIGNATURE) is None and not _value(
-            headers, _wire_names.REQUEST_ID
-        )
+        return _header_value(
+            headers, _wire_names.SERVER_SIGNATURE
+        ) is None and not _header_value(headers, _wire_names.REQUEST_ID)
 
     def answers_request(self, answer, request_id):
-        """Return whether ``answer`` belongs to the request with that id."""
-        echoed = _value(answer.headers, _wire_names.REQUEST_ID)
+        """Return whether ``answer`` is the response to the request ``request_id``."""
+        echoed = _header_value(answer.headers, _wire_names.REQUEST_ID)
         if echoed is not None:
             return echoed == request_id
         return not 200 <= answer.status < 300
 
     def read_health(self, answer, now):
-        """Return the :class:`~boragegw.gateway.HealthAnswer` in ``answer``."""
-        identity = _value(answer.headers, _wire_names.SERVER_IDENTITY)
-        cold = _value(answer.headers, _wire_names.COLD_MS)
+        """Parse a probe response into a :class:`~boragegw.gateway.HealthAnswer`."""
+        identity = _header_value(answer.headers, _wire_names.INSTANCE_ID)
+        warm_up = _header_value(answer.headers, _wire_names.WARM_UP_MS)
         return gateway.HealthAnswer(
             healthy=answer.status == 200,
             identity="" if identity is None else identity.decode("latin-1"),
             report=self.read_report(answer, now),
-            cold_for=None if cold is None else _seconds(cold),
+            cold_for=None if warm_up is None else _parse_milliseconds(warm_up),
         )
 
     def read_report(self, answer, now):
-        """Return the load report on any answer, or ``None``."""
-        value = _value(answer.headers, _wire_names.LOAD)
+        """Return the load report of any response, or ``None``."""
+        value = _header_value(answer.headers, _wire_names.LOAD_REPORT)
         if value is None:
             return None
         parts = value.split(b",")
@@ -112,22 +112,22 @@
         )
 
     def is_not_run(self, answer):
-        """Return whether the backend server says that it did not run the request."""
-        return answer.status == MISDIRECTED or (
-            _value(answer.headers, _wire_names.NOT_RUN) is not None
+        """Return whether the backend server reports that it did not execute it."""
+        return answer.status == MISDIRECTED_REQUEST or (
+            _header_value(answer.headers, _wire_names.NOT_EXECUTED) is not None
         )
 
     def is_other_server(self, answer):
-        """Return whether another server answered at the address."""
-        return answer.status == MISDIRECTED
+        """Return whether another backend server now uses the address."""
+        return answer.status == MISDIRECTED_REQUEST
 
     def is_authentic(self, answer):
-        """Return whether a backend server made the answer."""
-        return _value(answer.headers, _wire_names.SIGNATURE) is not None
+        """Return whether a backend server generated the response."""
+        return _header_value(answer.headers, _wire_names.SERVER_SIGNATURE) is not None
 
     def refusal(self, status, request_id, retry_after=None, close=False):
-        """Return the bytes of an answer of our own."""
-        text = STATUS_TEXT.get(status, "Error")
+        """Return the bytes of an error response of this process."""
+        text = REASON_PHRASES.get(status, "Error")
         lines = [f"HTTP/1.1 {status} {text}", "content-length: 0"]
         if request_id:
             lines.append(f"x-request-id: {request_id.decode('latin-1')}")
@@ -138,15 +138,15 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
-def _value(headers, name):
-    for known, value in headers:
-        if known == name:
+def _header_value(headers, name):
+    for header_name, value in headers:
+        if header_name == name:
             return value
     return None
 
 
-def _seconds(milliseconds):
-    """Return milliseconds in bytes as seconds, or ``None`` if they are no number."""
+def _parse_milliseconds(milliseconds):
+    """Return ``milliseconds`` as seconds, or ``None`` if it is not a number."""
     try:
         return max(0.0, float(milliseconds) / 1000.0)
     except ValueError:
@@ -154,7 +154,7 @@
 
 
 def _connection_options(headers):
-    """Return the header names that the Connection header limits to one connection."""
+    """Return the header names that the Connection header declares hop-by-hop."""
     names = set()
     for name, value in headers:
         if name == b"connection":
--- a/boragegw/platform/_schemas.py
+++ b/boragegw/platform/_schemas.py
@@ -1,68 +1,68 @@
-"""Shapes of the published records, and a reader that loses only what it cannot read."""
+"""Schemas of the JSON records in the store, and a decoder that skips invalid fields."""
 
 import typing
 
 import msgspec
 
-#: Attempts of a route that states none.
-DEFAULT_ATTEMPTS = 2
-#: Warm-up of a service that states none: it bears a lot at once.
-UNLIMITED_RATE = 1e6
-#: What a route may hold back at most if it states no timeout, in seconds.
+#: Value of ``max_attempts`` if a route does not set it.
+DEFAULT_MAX_ATTEMPTS = 2
+#: Value of ``warmup_per_s`` if a service does not set it: no slow start is needed.
+UNLIMITED_WARM_UP_RATE = 1e6
+#: Timeout of a route that does not set one, in seconds.
 DEFAULT_TIMEOUT = 60.0
-#: Values in place of fields that are there and cannot be read, where the default of a
-#: missing field would permit more than the writer may have meant.
-CAUTIOUS = {"max_attempts": 1, "warmup_per_s": 1.0}
+#: Values that replace invalid fields where the default of a missing field could permit
+#: more than the writer intended.
+CONSERVATIVE_VALUES = {"max_attempts": 1, "warmup_per_s": 1.0}
 
-NotNegative = typing.Annotated[float, msgspec.Meta(ge=0)]
-Positive = typing.Annotated[float, msgspec.Meta(gt=0)]
-Whole = typing.Annotated[int, msgspec.Meta(ge=0)]
-Counted = typing.Annotated[int, msgspec.Meta(ge=1)]
+NonNegativeFloat = typing.Annotated[float, msgspec.Meta(ge=0)]
+PositiveFloat = typing.Annotated[float, msgspec.Meta(gt=0)]
+NonNegativeInt = typing.Annotated[int, msgspec.Meta(ge=0)]
+PositiveInt = typing.Annotated[int, msgspec.Meta(ge=1)]
 
 
-class WirePart(msgspec.Struct):
-    """One part of ``traffic_split``."""
+class WireWeightedService(msgspec.Struct):
+    """One service of ``traffic_split`` with its weight."""
 
     service: str
-    weight: NotNegative
+    weight: NonNegativeFloat
 
 
 class WireRoute(msgspec.Struct):
-    """A route; ``route_type`` says what may be repeated."""
+    """A route; ``route_type`` determines whether its requests may be retried."""
 
     host: str
     prefix: str
     name: str = ""
     route_type: str = ""
-    timeout_s: Positive = DEFAULT_TIMEOUT
-    target_latency_s: Positive = 1.0
+    timeout_s: PositiveFloat = DEFAULT_TIMEOUT
+    target_latency_s: PositiveFloat = 1.0
     priority: int = 0
-    max_attempts: Counted = DEFAULT_ATTEMPTS
+    max_attempts: PositiveInt = DEFAULT_MAX_ATTEMPTS
     service: str | None = None
-    traffic_split: list[WirePart] | None = None
+    traffic_split: list[WireWeightedService] | None = None
 
 
 class WireService(msgspec.Struct):
-    """A service; ``max_conns`` is a backend server's bound for all callers."""
+    """A service; ``max_conns`` limits all callers' connections to one server."""
 
     name: str
     health_path: str = "/health"
-    max_conns: Counted = 100
-    warmup_s: NotNegative = 0.0
-    warmup_per_s: NotNegative = UNLIMITED_RATE
+    max_conns: PositiveInt = 100
+    warmup_s: NonNegativeFloat = 0.0
+    warmup_per_s: NonNegativeFloat = UNLIMITED_WARM_UP_RATE
 
 
 class WireLimits(msgspec.Struct):
-    """Bounds on what a caller may send."""
+    """Limits on the size and pace of what a caller sends."""
 
-    max_header_bytes: Counted = 16384
-    max_body_bytes: Whole = 64 << 20
-    header_timeout_s: Positive = 3.0
-    idle_timeout_s: Positive = 15.0
+    max_header_bytes: PositiveInt = 16384
+    max_body_bytes: NonNegativeInt = 64 << 20
+    header_timeout_s: PositiveFloat = 3.0
+    idle_timeout_s: PositiveFloat = 15.0
 
 
 class WireConfiguration(msgspec.Struct):
-    """The operators' configuration in full; its parts are read one by one."""
+    """The complete configuration; its parts are decoded one by one."""
 
     version: str
     routes: list[msgspec.Raw]
@@ -71,7 +71,7 @@
 
 
 class WireInfo(msgspec.Struct):
-    """What does not change while a backend server lives."""
+    """Properties that stay the same for the lifetime of a backend server."""
 
     service: str
     zone: str
@@ -80,7 +80,7 @@
 
 
 class WireStatus(msgspec.Struct):
-    """What changes; ``seq`` counts its reports since its start."""
+    """Current state; ``seq`` counts the reports since the server started."""
 
     state: str
     seq: int = 0
@@ -88,7 +88,7 @@
 
 
 class WireServer(msgspec.Struct):
-    """A backend server's entry; ``born`` is the Unix millisecond of its start."""
+    """A backend server's entry; ``born`` is its start time in Unix milliseconds."""
 
     address: str
     info: WireInfo
@@ -96,58 +96,58 @@
     born: int = 0
 
 
-class PartReader:
-    """Reads the parts of a document one by one and their fields one by one.
+class LenientDecoder:
+    """Decodes the parts of a configuration and, if needed, their fields one by one.
 
-    Guards against a document that is lost whole for one value: a field of a new type
-    or kind in one route would otherwise keep every process from its configuration,
-    and all requests would be refused. What cannot be read is logged by name.
+    Otherwise one invalid value, such as a field of a new type in one route, would make
+    the whole configuration unreadable for every process, and all requests would be
+    refused. Invalid fields are logged by name.
 
     :param log: an :class:`~boragegw.gateway.EventLog`.
     """
 
     def __init__(self, log):
         self.log = log
-        self._whole = {}
+        self._decoders = {}
 
-    def read(self, part_type, raw):
-        """Return ``raw`` as ``part_type``, or ``None`` if a required field is lost.
+    def decode(self, part_type, raw):
+        """Return ``raw`` as ``part_type``, or ``None`` if a required field is invalid.
 
-        :param part_type: one of this module's classes.
-        :param raw: the part's bytes, JSON.
+        :param part_type: one of the structs of this module.
+        :param raw: JSON bytes of the part.
         """
-        if part_type not in self._whole:
-            self._whole[part_type] = msgspec.json.Decoder(part_type)
+        if part_type not in self._decoders:
+            self._decoders[part_type] = msgspec.json.Decoder(part_type)
         try:
-            return self._whole[part_type].decode(raw)
+            return self._decoders[part_type].decode(raw)
         except msgspec.DecodeError:
-            return self._read_by_field(part_type, raw)
+            return self._decode_by_field(part_type, raw)
 
-    def _read_by_field(self, part_type, raw):
+    def _decode_by_field(self, part_type, raw):
         try:
             fields = msgspec.json.decode(raw, type=dict)
         except msgspec.DecodeError as error:
-            self._note(part_type, "", "", error)
+            self._log_unreadable(part_type, "", "", error)
             return None
         label = str(fields.get("name", ""))
         values = {}
         for field in msgspec.structs.fields(part_type):
             if field.name not in fields:
                 if field.required:
-                    self._note(part_type, label, field.name, "missing")
+                    self._log_unreadable(part_type, label, field.name, "missing")
                     return None
                 continue
             try:
                 values[field.name] = msgspec.convert(fields[field.name], field.type)
             except msgspec.ValidationError as error:
-                self._note(part_type, label, field.name, error)
+                self._log_unreadable(part_type, label, field.name, error)
                 if field.required:
                     return None
-                if field.name in CAUTIOUS:
-                    values[field.name] = CAUTIOUS[field.name]
+                if field.name in CONSERVATIVE_VALUES:
+                    values[field.name] = CONSERVATIVE_VALUES[field.name]
         return part_type(**values)
 
-    def _note(self, part_type, label, field, reason):
+    def _log_unreadable(self, part_type, label, field, reason):
         self.log.event(
             "unreadable-part",
             part=part_type.__name__.removeprefix("Wire").lower(),
--- a/boragegw/platform/_wire_names.py
+++ b/boragegw/platform/_wire_names.py
@@ -1,22 +1,22 @@
-"""Names on the platform's wire, each once."""
+"""Header names and store keys of the platform's wire format."""
 
 REQUEST_ID = b"x-request-id"
-#: Milliseconds that the caller, or this process, waits for the answer.
+#: Milliseconds that the sender, a caller or this process, waits for the response.
 DEADLINE_MS = b"x-deadline-ms"
-#: Identity of the backend server that a request is meant for.
-EXPECTED_SERVER = b"x-expect-instance"
-#: Present where the backend server has not run the request.
-NOT_RUN = b"x-not-executed"
-SERVER_IDENTITY = b"x-instance-id"
-#: Present on answers that a backend server made itself.
-SIGNATURE = b"x-server-signature"
-#: "running,waiting,slots[,percent]": percent is the time that work takes now, 100
-#: being the usual time.
-LOAD = b"x-backend-load"
-#: Milliseconds for which the backend server stays cold.
-COLD_MS = b"x-warmup-ms"
+#: Identity of the backend server that a request is addressed to.
+EXPECTED_INSTANCE = b"x-expect-instance"
+#: Present if the backend server did not execute the request.
+NOT_EXECUTED = b"x-not-executed"
+INSTANCE_ID = b"x-instance-id"
+#: Present on responses that a backend server generated itself.
+SERVER_SIGNATURE = b"x-server-signature"
+#: "running,waiting,slots[,percent]": percent is the current service time relative to
+#: the usual one, which is 100.
+LOAD_REPORT = b"x-backend-load"
+#: Milliseconds until the backend server has warmed up.
+WARM_UP_MS = b"x-warmup-ms"
 
 SERVERS_PREFIX = "servers/"
 CONFIGURATION_KEY = "op/config"
-#: A key below this prefix names a data centre that is taken out.
+#: A key below this prefix names a data centre that receives no requests.
 EVACUATION_PREFIX = "op/evacuate/"
--- a/boragegw/platform/tests/test_decoder.py
+++ b/boragegw/platform/tests/test_decoder.py
@@ -210,7 +210,7 @@
     """Field by field, thousands of routes hold up all requests."""
     by_field = []
     monkeypatch.setattr(
-        _schemas.PartReader, "_read_by_field", lambda *part: by_field.append(part)
+        _schemas.LenientDecoder, "_decode_by_field", lambda *part: by_field.append(part)
     )
     configuration, notes = decode(DOCUMENT)
     assert len(configuration.routes) == len(DOCUMENT["routes"])
