--- a/boragegw/platform/__init__.py
+++ b/boragegw/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform: its settings, store, names and calls, and nothing else."""
+"""Adapter for the users' platform: settings, store client, wire names, endpoints."""
 
 from boragegw.platform._decoder import RecordDecoder
 from boragegw.platform._dialect import PlatformDialect
--- a/boragegw/platform/__main__.py
+++ b/boragegw/platform/__main__.py
@@ -1,14 +1,14 @@
 """Run a gateway process: ``python boragegw/platform/__main__.py [HOST:PORT]``.
 
-A killed process serves again only after its start, so the start is kept short: the
-garbage collector does not run while modules are imported, and neither TLS nor the
-hashes of its library are loaded, which nothing here uses. Both need this file to run
-before the package is imported, so it is started by its path and not with ``-m``.
-
-HOST:PORT is the address for callers. It is listened on first of all: connections that
-are opened during the imports wait for some tenths of a second. Otherwise they would be
-refused, which costs a caller one of its few tries, and all of them where every process
-has been lost at once.
+A killed process serves again only after its restart, so startup is kept short: the
+garbage collector is disabled during the imports, and the TLS and OpenSSL hash modules,
+which are unused here, are not loaded. Both need this file to run before the package is
+imported, so it is started by its path and not with ``-m``.
+
+HOST:PORT is the address for callers. The socket listens before the imports start:
+connections opened during the imports wait in the backlog for some tenths of a second.
+Otherwise they would be refused, which costs a caller one of its few attempts, and all
+of them if every process was lost at once.
 """
 
 import _signal
@@ -16,7 +16,7 @@
 import gc
 import sys
 
-#: Connections that wait until the process accepts them.
+#: Largest number of connections that wait to be accepted.
 BACKLOG = 512
 
 
@@ -31,12 +31,12 @@
 
 
 def run():
-    """Run one process and return its exit code."""
-    # SIGHUP may come while modules are imported and would end the process; the
-    # settings are read after that anyway.
+    """Run a gateway process and return its exit code."""
+    # A SIGHUP during the imports would terminate the process. It can be ignored because
+    # the settings are read after the imports.
     _signal.signal(_signal.SIGHUP, _signal.SIG_IGN)
     gc.disable()
-    front = listen(sys.argv[1]) if len(sys.argv) > 1 else None
+    front_fd = listen(sys.argv[1]) if len(sys.argv) > 1 else None
     for name in ("ssl", "_ssl", "_hashlib"):
         sys.modules[name] = None
     if not __package__:
@@ -45,7 +45,7 @@
 
     gc.freeze()
     gc.enable()
-    return platform.main(front)
+    return platform.main(front_fd)
 
 
 if __name__ == "__main__":
--- a/boragegw/platform/_endpoints.py
+++ b/boragegw/platform/_endpoints.py
@@ -1,27 +1,27 @@
-"""What the platform, callers, operators and scrapers ask."""
+"""HTTP endpoints for the platform, callers, operators and metrics scrapers."""
 
 import msgspec
 
 from boragegw import gateway
 
-#: Seconds for which callers keep an answer of the directory. A look-up costs a caller
-#: two round trips, up to 32 ms: kept for 3 s instead of 1.5 s, the median answer came
-#: 5 ms sooner. Kept much longer, callers would still use the addresses of VMs that
-#: left: some keep an answer three times as long as told.
-KEEP_FOR = 3.0
+#: Time for which callers cache the addresses of the directory. A look-up costs a caller
+#: two round trips, up to 32 ms: with 3 s instead of 1.5 s, the median response comes
+#: 5 ms earlier. With a much longer time, callers would still use the addresses of VMs
+#: that have left: some cache an address for three times the TTL.
+RESOLUTION_TTL_SECONDS = 3.0
 
 NOT_FOUND = gateway.Reply(404)
 
 
 class Resolution(msgspec.Struct):
-    """Which addresses to use, and for how long in seconds."""
+    """Addresses of gateways, and the seconds for which callers may cache them."""
 
     addresses: list[str]
     ttl_s: float
 
 
 class Status(msgspec.Struct):
-    """What a process knows and does, for operators."""
+    """State and counters of a process, for operators."""
 
     process: str
     life: str
@@ -34,24 +34,24 @@
 
 
 class Endpoints:
-    """Handlers of the platform's calls.
+    """Request handlers of the endpoints.
 
     :param process: the :class:`~boragegw.gateway.Gateway`.
-    :param max_ttl: longest seconds for which callers may cache a resolution.
+    :param max_ttl: upper bound on the TTL of addresses, in seconds.
     """
 
     def __init__(self, process, max_ttl):
         self.process = process
-        self.ttl = min(KEEP_FOR, max_ttl)
+        self.ttl = min(RESOLUTION_TTL_SECONDS, max_ttl)
 
     async def ready(self, request):
-        """Answer 200 while requests are accepted."""
+        """Return status 200 while requests are accepted, otherwise 503."""
         if gateway.path_of(request) != "/v1/ready":
             return NOT_FOUND
         return gateway.Reply(200 if self.process.board.ready else 503)
 
     async def resolve(self, request):
-        """Name the addresses that a caller should use."""
+        """Return the gateway addresses that a caller should use."""
         if gateway.path_of(request) != "/v1/resolve":
             return NOT_FOUND
         data_centre = gateway.query_of(request).get("zone", "")
@@ -62,7 +62,7 @@
         return gateway.Reply(200, body)
 
     async def status(self, request):
-        """Show operators what this process knows and does."""
+        """Return the state and counters of this process."""
         if gateway.path_of(request) != "/v1/status":
             return NOT_FOUND
         process = self.process
@@ -80,7 +80,7 @@
         return gateway.Reply(200, msgspec.json.encode(status))
 
     async def metrics(self, request):
-        """Show scrapers counters, gauges and latency histograms."""
+        """Return counters, gauges and latency histograms for scrapers."""
         if gateway.path_of(request) != "/v1/metrics":
             return NOT_FOUND
         process = self.process
--- a/boragegw/platform/_process.py
+++ b/boragegw/platform/_process.py
@@ -1,4 +1,4 @@
-"""Starts a gateway process on the platform; signals, settings, listeners."""
+"""Starts a gateway process on the platform: signals, settings reloads, listeners."""
 
 import asyncio
 import os
@@ -9,8 +9,8 @@
 from boragegw import errors, gateway
 from boragegw.platform import _decoder, _dialect, _endpoints, _settings, _store_client
 
-#: Seconds between looks at the settings file, which may change without a signal.
-SETTINGS_INTERVAL = 2.0
+#: Interval at which the settings file is polled; it may change without a SIGHUP.
+SETTINGS_POLL_SECONDS = 2.0
 EXIT_BAD_SETTINGS = 2
 
 
@@ -35,90 +35,90 @@
 
 
 async def open_endpoints(process, settings):
-    """Listen for what the platform, callers and peers ask; return the listeners."""
+    """Open the endpoints for the platform, callers and peers; return the listeners."""
     endpoints = _endpoints.Endpoints(process, settings.max_ttl)
-    wanted = [
+    handlers = [
         (endpoints.ready, settings.ready),
         (endpoints.resolve, settings.directory),
         (process.replicas.answer, settings.gateway.peer),
     ]
     if settings.control is not None:
-        wanted.append((endpoints.status, settings.control))
+        handlers.append((endpoints.status, settings.control))
     if settings.metrics is not None:
-        wanted.append((endpoints.metrics, settings.metrics))
-    return [await process.listen(handler, address) for handler, address in wanted]
+        handlers.append((endpoints.metrics, settings.metrics))
+    return [await process.listen(handler, address) for handler, address in handlers]
 
 
 class PlatformProcess:
-    """One process on the platform.
+    """A gateway process on the platform.
 
     :param path: path of the settings file.
-    :param front: file descriptor of a socket that listens for callers already, or
+    :param front_fd: file descriptor of a socket that already listens for callers, or
         ``None``.
     """
 
-    def __init__(self, path, front=None):
+    def __init__(self, path, front_fd=None):
         self.path = path
-        self.front = front
-        self.process = None
+        self.front_fd = front_fd
+        self.gateway = None
         self._settings = None
-        self._stat = None
-        self._told = None
+        self._last_file_stamp = None
+        self._stop_requested = None
         self._listeners = []
 
     async def run(self):
         """Serve until SIGTERM and return the exit code."""
         loop = asyncio.get_running_loop()
-        self._told = asyncio.Event()
-        # First of all: SIGHUP may come while the process starts, and would end it.
+        self._stop_requested = asyncio.Event()
+        # Installed first: a SIGHUP during the startup would terminate the process.
         loop.add_signal_handler(signal.SIGHUP, self._reload)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._told.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self._stop_requested.set)
         self._settings = _settings.load_settings(self.path)
-        self._stat = _stamp(self.path)
+        self._last_file_stamp = _file_stamp(self.path)
         log = gateway.EventLog(self._settings.gateway.name, loop.time)
-        self.process = build_gateway(self._settings, log, loop.time)
-        await self.process.start(self._front_socket())
-        self._listeners = await open_endpoints(self.process, self._settings)
-        watch = loop.create_task(self._watch_settings())
-        await self._told.wait()
-        watch.cancel()
-        await self.process.stop()
+        self.gateway = build_gateway(self._settings, log, loop.time)
+        await self.gateway.start(self._front_listener())
+        self._listeners = await open_endpoints(self.gateway, self._settings)
+        settings_watch = loop.create_task(self._watch_settings())
+        await self._stop_requested.wait()
+        settings_watch.cancel()
+        await self.gateway.stop()
         return 0
 
-    def _front_socket(self):
-        """Return the socket that listens already, unless its address is another."""
-        if self.front is None:
+    def _front_listener(self):
+        """Return the inherited listener if its address is that of the settings."""
+        if self.front_fd is None:
             return None
-        listener = socket.socket(fileno=self.front)
+        listener = socket.socket(fileno=self.front_fd)
         if listener.getsockname() == self._settings.gateway.front:
             return listener
         listener.close()
         return None
 
     def _reload(self):
-        """Take over what may change while the process runs: the seeds."""
-        if self.process is None:
+        """Reload the settings that may change at run time: the seeds."""
+        if self.gateway is None:
             return
         try:
             fresh = _settings.load_settings(self.path)
         except errors.ConfigurationError as error:
-            self.process.log.event("settings-invalid", detail=error.detail)
+            self.gateway.log.event("settings-invalid", detail=error.detail)
             return
-        self.process.log.event("settings-read")
-        self.process.use_seeds(fresh.gateway.seeds)
+        self.gateway.log.event("settings-read")
+        self.gateway.use_seeds(fresh.gateway.seeds)
 
     async def _watch_settings(self):
         while True:
-            await asyncio.sleep(SETTINGS_INTERVAL)
-            stamp = _stamp(self.path)
-            if stamp != self._stat:
-                self._stat = stamp
+            await asyncio.sleep(SETTINGS_POLL_SECONDS)
+            stamp = _file_stamp(self.path)
+            if stamp != self._last_file_stamp:
+                self._last_file_stamp = stamp
                 self._reload()
 
 
-def _stamp(path):
-    """Return what changes with the file, or ``None`` while it is being replaced."""
+def _file_stamp(path):
+    """Return a change stamp, or ``None`` while the file is being replaced."""
     try:
         stat = os.stat(path)
     except OSError:
@@ -126,17 +126,17 @@
     return stat.st_mtime_ns, stat.st_size, stat.st_ino
 
 
-def main(front=None):
-    """Run one process and return its exit code.
+def main(front_fd=None):
+    """Run a gateway process and return its exit code.
 
-    :param front: see :class:`PlatformProcess`.
+    :param front_fd: see :class:`PlatformProcess`.
     """
     path = os.environ.get(_settings.SETTINGS_VARIABLE)
     if not path:
         print(f"boragegw: {_settings.SETTINGS_VARIABLE} is not set", file=sys.stderr)
         return EXIT_BAD_SETTINGS
     try:
-        return asyncio.run(PlatformProcess(path, front).run())
+        return asyncio.run(PlatformProcess(path, front_fd).run())
     except errors.ConfigurationError as error:
         print(f"boragegw: {error.detail}", file=sys.stderr)
         return EXIT_BAD_SETTINGS
--- a/boragegw/platform/_settings.py
+++ b/boragegw/platform/_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, checked and turned into the product's settings."""
+"""Reads and validates the platform's settings file."""
 
 import dataclasses
 import os
@@ -9,24 +9,24 @@
 
 #: Environment variable with the path of the settings file.
 SETTINGS_VARIABLE = "BORAGEGW_SETTINGS"
-#: Environment variable with parameters of policies that differ from their defaults, a
-#: JSON object of objects: ``{"asking": {"most": 4}}``. The settings file has the
-#: platform's fields only.
+#: Environment variable with policy parameters that differ from their defaults, a JSON
+#: object of objects: ``{"asking": {"most": 4}}``. The settings file cannot hold them,
+#: as it has only the fields that the platform defines.
 POLICIES_VARIABLE = "BORAGEGW_POLICIES"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """A process's settings on this platform.
+    """Settings of a gateway process on this platform.
 
-    :param gateway: the product's own settings.
+    :param gateway: platform-independent settings.
     :param store: ``(host, port)`` of the platform's store.
-    :param ready: ``(host, port)`` on which the platform asks whether it is ready.
-    :param directory: ``(host, port)`` on which callers ask for addresses.
-    :param control: ``(host, port)`` for operators; ``None`` if it serves none.
-    :param metrics: ``(host, port)`` for scrapers: the second internal port, ``None``
-        if there is only one.
-    :param max_ttl: longest seconds for which callers may cache an address.
+    :param ready: ``(host, port)`` of the readiness endpoint.
+    :param directory: ``(host, port)`` where callers look up gateway addresses.
+    :param control: ``(host, port)`` of the status endpoint for operators, or ``None``.
+    :param metrics: ``(host, port)`` of the metrics endpoint: the second internal port,
+        or ``None`` if there is only one.
+    :param max_ttl: upper bound on the TTL of addresses, in seconds.
     """
 
     gateway: gateway.GatewaySettings
@@ -41,33 +41,33 @@
 def load_settings(path):
     """Return the :class:`PlatformSettings` in the file at ``path``.
 
-    :raises ConfigurationError: naming the key, its value and what was expected.
+    :raises ConfigurationError: with the key, its value and what was expected.
     """
     try:
-        data = _decoded(path)
+        data = _decode_file(path)
     except (OSError, msgspec.DecodeError) as error:
         raise errors.ConfigurationError(path, "file", str(error)) from error
     if not isinstance(data, dict):
         raise errors.ConfigurationError(path, "file", "expected a JSON object or TOML")
-    return _Reader(path, data).settings()
+    return _SettingsReader(path, data).read()
 
 
 def is_settings_file(path):
-    """Return whether the file at ``path`` is the platform's settings of a process."""
+    """Return whether the file at ``path`` holds settings in the platform's format."""
     try:
-        data = _decoded(path)
+        data = _decode_file(path)
     except (OSError, msgspec.DecodeError):
         return False
     return isinstance(data, dict) and {"node", "listen", "platform"} <= data.keys()
 
 
-def _decoded(path):
+def _decode_file(path):
     with open(path, "rb") as file:
         data = file.read()
     if data.lstrip().startswith(b"{"):
         return msgspec.json.decode(data)
-    # The platform's own form, where no template asks for JSON; the import of its
-    # parser takes 5 ms of a start.
+    # The platform writes TOML unless a template asks for JSON. Importing the parser
+    # takes 5 ms of the startup time.
     import tomllib
 
     try:
@@ -77,7 +77,7 @@
 
 
 def _load_policy_parameters(text):
-    """Return the parameters of policies in the environment, checked."""
+    """Return the validated policy parameters of the environment variable."""
     if not text:
         return {}
     try:
@@ -88,19 +88,19 @@
     return parameters
 
 
-class _Reader:
-    """Reads typed values by dotted key."""
+class _SettingsReader:
+    """Reads and validates values by dotted key."""
 
     def __init__(self, path, data):
         self.path = path
         self.data = data
 
-    def settings(self):
-        """Return the settings; what is not known here is ignored."""
+    def read(self):
+        """Return the settings; unknown keys are ignored."""
         front = self.address("listen.front")
         ports = self.integers("internal_ports")
         if not ports:
-            self._fail("internal_ports", ports, "two ports")
+            self._raise_invalid("internal_ports", ports, "two ports")
         store = self.address("platform.address")
         return PlatformSettings(
             gateway=self._gateway(front, ports[0]),
@@ -113,14 +113,17 @@
         )
 
     def _metrics_address(self, ports):
-        """Return the second internal port's address; the first one is for peers."""
+        """Return the address of the second internal port; the first is for peers."""
         if ports[-1] <= ports[0]:
             return None
         return self.string("ip"), ports[0] + 1
 
     def _gateway(self, front, peer_port):
         seeds = tuple(
-            host for host, _ in (self._pair("seeds", s) for s in self.strings("seeds"))
+            host
+            for host, _ in (
+                self._parse_address("seeds", s) for s in self.strings("seeds")
+            )
         )
         return gateway.GatewaySettings(
             name=self.string("node"),
@@ -130,7 +133,7 @@
             seeds=seeds,
             stop_time=self.number("bounds.grace_s", 6.0),
             link=self.number("limits.link_mbps", 1000.0),
-            first_start=self._value("bootstrap") is True,
+            first_start=self._look_up("bootstrap") is True,
             repeat_ratio=self.number("bounds.retry_budget_ratio", 0.2),
             repeat_window=self.number("bounds.retry_window_s", 10.0),
             probe_rate=self.number("bounds.probes_per_s", 20.0),
@@ -139,51 +142,51 @@
         )
 
     def string(self, key):
-        """Return a string that is not empty."""
-        value = self._value(key)
+        """Return a non-empty string."""
+        value = self._look_up(key)
         if not isinstance(value, str) or not value:
-            self._fail(key, value, "a string")
+            self._raise_invalid(key, value, "a string")
         return value
 
     def number(self, key, default):
-        """Return a number of at least 0."""
-        value = self._value(key)
+        """Return a non-negative number."""
+        value = self._look_up(key)
         if value is None:
             return default
         if isinstance(value, bool) or not isinstance(value, (int, float)) or value < 0:
-            self._fail(key, value, "a number of at least 0")
+            self._raise_invalid(key, value, "a number of at least 0")
         return float(value)
 
     def integers(self, key):
-        """Return a list of whole numbers."""
-        value = self._value(key)
+        """Return a list of integers."""
+        value = self._look_up(key)
         if not isinstance(value, list) or not all(type(v) is int for v in value):
-            self._fail(key, value, "a list of whole numbers")
+            self._raise_invalid(key, value, "a list of whole numbers")
         return value
 
     def strings(self, key):
-        """Return a list of strings, empty if there is none."""
-        value = self._value(key)
+        """Return a list of strings, empty if the key is missing."""
+        value = self._look_up(key)
         if value is None:
             return []
         if not isinstance(value, list) or not all(isinstance(v, str) for v in value):
-            self._fail(key, value, "a list of strings")
+            self._raise_invalid(key, value, "a list of strings")
         return value
 
     def address(self, key, required=True):
-        """Return ``host:port`` as a pair."""
-        value = self._value(key)
+        """Return ``host:port`` as a tuple ``(host, port)``."""
+        value = self._look_up(key)
         if value is None and not required:
             return None
-        return self._pair(key, value)
+        return self._parse_address(key, value)
 
-    def _pair(self, key, value):
+    def _parse_address(self, key, value):
         host, _, port = value.rpartition(":") if isinstance(value, str) else ("",) * 3
         if not host or not port.isdigit():
-            self._fail(key, value, "host:port")
+            self._raise_invalid(key, value, "host:port")
         return host, int(port)
 
-    def _value(self, key):
+    def _look_up(self, key):
         value = self.data
         for part in key.split("."):
             if not isinstance(value, dict):
@@ -191,6 +194,6 @@
             value = value.get(part)
         return value
 
-    def _fail(self, key, value, expected):
+    def _raise_invalid(self, key, value, expected):
         detail = f"{value!r}, expected {expected}"
         raise errors.ConfigurationError(self.path, key, detail)
--- a/boragegw/platform/_store_client.py
+++ b/boragegw/platform/_store_client.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's store."""
+"""Client of the platform's key-value store."""
 
 import base64
 import binascii
@@ -7,16 +7,17 @@
 
 from boragegw import gateway
 
-#: Seconds until an answer begins, besides the time that a watch waits; the store
-#: answers in 4 ms, up to a hundred times slower on bad days.
-ANSWER_TIMEOUT = 1.0
-#: Times that a page is asked for after the first one has come.
-PAGE_TRIES = 3
-HISTORY_LOST = 410
+#: Time until a response begins, in addition to the wait of a watch. The store usually
+#: responds in 4 ms, but may be up to a hundred times slower.
+RESPONSE_TIMEOUT_SECONDS = 1.0
+#: Attempts to fetch each page after the first.
+PAGE_ATTEMPTS = 3
+#: HTTP status of a watch whose start position is no longer in the history.
+STATUS_GONE = 410
 
 
 class WireItem(msgspec.Struct):
-    """An item or an event as the store sends it."""
+    """An item or a change event of the store."""
 
     key: str
     rev: int
@@ -25,7 +26,7 @@
 
 
 class WirePage(msgspec.Struct):
-    """A page of items; ``as_of`` is the store's revision."""
+    """A page of items; ``as_of`` is the revision of the store."""
 
     items: list[WireItem]
     has_more: bool
@@ -33,18 +34,18 @@
 
 
 class WireEvents(msgspec.Struct):
-    """What a watch returned; continue from ``as_of``."""
+    """Events of a watch; the next watch starts from ``as_of``."""
 
     events: list[WireItem]
     as_of: int
 
 
 class StoreClient(gateway.Source):
-    """Reads and watches all keys.
+    """Reads and watches all keys of the store.
 
-    :param address: ``(host, port)``.
+    :param address: ``(host, port)`` of the store.
     :param now: function that returns monotonic seconds.
-    :param counters: the board's counters.
+    :param counters: mapping of counters in which calls are counted.
     :param log: an :class:`~boragegw.gateway.EventLog`.
     """
 
@@ -59,65 +60,67 @@
 
     @property
     def progress(self):
-        """How far the present answer has arrived."""
+        """Progress of the response that is being received."""
         return self._fetcher.progress
 
     async def read_all(self):
         """Return a reading of all records.
 
-        Pages are no snapshot. The position is the first page's, so whatever changes
-        between two pages comes once more with the first watch.
+        Several pages are not a consistent snapshot. The position is that of the first
+        page, so the first watch repeats all changes made between two pages.
         """
         records = []
         position = None
         after = ""
         while True:
             path = "/v1/kv-range?prefix=" + (
-                f"&after={_quoted(after)}" if after else ""
+                f"&after={_percent_encode(after)}" if after else ""
             )
-            page = await self._page(path, PAGE_TRIES if records else 1)
+            page = await self._get_page(path, PAGE_ATTEMPTS if records else 1)
             position = page.as_of if position is None else position
-            records += [_record(item) for item in page.items]
+            records += [_to_record(item) for item in page.items]
             if not page.has_more or not page.items:
                 in_one_page = not after
                 return gateway.Reading(records, position, consistent=in_one_page)
             after = page.items[-1].key
 
-    async def _page(self, path, tries):
-        """Return one page; a failure in the middle does not cost those before it."""
-        for _ in range(tries - 1):
+    async def _get_page(self, path, attempts):
+        """Return one page; retry failures to avoid reading the previous pages again."""
+        for _ in range(attempts - 1):
             try:
-                return await self._get(path, self._pages, ANSWER_TIMEOUT)
+                return await self._get(path, self._pages, RESPONSE_TIMEOUT_SECONDS)
             except gateway.SourceError as error:
                 self.log.event("store-page-failed", reason=str(error))
-        return await self._get(path, self._pages, ANSWER_TIMEOUT)
+        return await self._get(path, self._pages, RESPONSE_TIMEOUT_SECONDS)
 
     async def watch(self, after, wait):
-        """Return the changes after the position ``after``."""
+        """Wait up to ``wait`` seconds for changes after the position ``after``."""
         path = f"/v1/kv-watch?prefix=&after={after}&wait_ms={int(wait * 1000)}"
-        changes = await self._get(path, self._events, wait + ANSWER_TIMEOUT)
+        changes = await self._get(path, self._events, wait + RESPONSE_TIMEOUT_SECONDS)
         return gateway.Reading(
-            [_record(item) for item in changes.events], changes.as_of
+            [_to_record(item) for item in changes.events], changes.as_of
         )
 
-    async def _get(self, path, decoder, patience):
-        answer = await self._fetcher.get(path, patience)
-        if answer.status == HISTORY_LOST:
+    async def _get(self, path, decoder, timeout):
+        answer = await self._fetcher.get(path, timeout)
+        if answer.status == STATUS_GONE:
             raise gateway.HistoryLostError(f"{path}: status {answer.status}")
         if answer.status != 200:
-            raise gateway.SourceError(f"status {answer.status}")
+            raise gateway.SourceError(f"store returned status {answer.status}")
         try:
             return decoder.decode(answer.body)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
-            raise gateway.SourceError(f"unreadable answer: {error}") from error
+            raise gateway.SourceError(
+                f"invalid response of the store: {error}"
+            ) from error
 
     def close(self):
         """Close the idle connections."""
         self._fetcher.close()
 
 
-def _record(item):
-    """Return the record of an item; one whose bytes cannot be read has none."""
+def _to_record(item):
+    """Return the record of an item; an invalid base64 value becomes ``b""``."""
     value = None
     if not item.deleted:
         try:
@@ -127,8 +130,8 @@
     return gateway.Record(item.key, value, item.rev)
 
 
-def _quoted(key):
-    safe = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_./"
+def _percent_encode(key):
+    unreserved = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_./"
     return "".join(
-        c if c in safe else "".join(f"%{b:02X}" for b in c.encode()) for c in key
+        c if c in unreserved else "".join(f"%{b:02X}" for b in c.encode()) for c in key
     )
