--- a/boragegw/platform/_store_client.py
+++ b/boragegw/platform/_store_client.py
@@ -64,7 +64,7 @@
         return self._fetcher.progress
 
     async def read_all(self):
-        """Return a reading of all records.
+        """Read all records.
 
         Several pages are not a consistent snapshot. The position is that of the first
         page, so the first watch repeats all changes made between two pages.
@@ -85,7 +85,7 @@
             after = page.items[-1].key
 
     async def _get_page(self, path, attempts):
-        """Return one page; retry failures to avoid reading the previous pages again."""
+        """Return one page; retry failures so that earlier pages stay usable."""
         for _ in range(attempts - 1):
             try:
                 return await self._get(path, self._pages, RESPONSE_TIMEOUT_SECONDS)
