--- a/boragegw/platform/tests/test_large_configuration.py
+++ b/boragegw/platform/tests/test_large_configuration.py
@@ -6,46 +6,46 @@
 
 in_memory = standins.in_memory
 
-#: Seconds after a publication until it is in force everywhere, the users' bound.
-CONFIG_APPLY = 2.5
-#: Seconds after the start of a process until it is ready.
-START = 3.0
-#: Seconds in which a new installation has settled.
-SETTLED = 10.0
+#: Longest time from a publication until it is in force in every process; users' limit.
+PROPAGATION_LIMIT_SECONDS = 2.5
+#: Longest time from the start of a process until it is ready.
+STARTUP_LIMIT_SECONDS = 3.0
+#: Time in which all processes of a new installation have read the configuration.
+SETTLING_SECONDS = 10.0
 GATEWAYS = 12
-#: Entries of backend servers that make the first reading large; 0.24 MB of JSON.
+#: Backend server entries that make the first read large; 0.24 MB of JSON.
 ENTRIES = 600
-#: Routes of a large configuration; its JSON has 0.37 MB.
+#: Routes of a large configuration; 0.37 MB of JSON.
 ROUTES = 1300
-#: Mbit/s of the one large machine, and of the others.
-FAST = 200.0
-USUAL = 10.0
-SLOW = 5.0
-TINY = 0.15
-#: Bytes that control may cost a process in a second, the users' bound.
-CONTROL_BYTES = 14_000
-#: Publications one after the other, and seconds from the end of one to the next.
+#: Link rate of the one large VM, and rates of the others.
+FAST_MBPS = 200.0
+USUAL_MBPS = 10.0
+SLOW_MBPS = 5.0
+TINY_MBPS = 0.15
+#: Control traffic that a process may cause in a second; users' limit.
+CONTROL_BYTES_PER_SECOND = 14_000
+#: Consecutive publications, and the time from the end of one to the next.
 PUBLICATIONS = 5
-BETWEEN = 0.1
+PAUSE_SECONDS = 0.1
 
 
-async def settled(routes, link):
-    """Return an installation of one large machine and others on links of ``link``."""
+async def start_settled_installation(routes, link):
+    """Start one gateway on a fast link and the others on links of ``link`` Mbit/s."""
     installation = standins.WireWorld()
     await installation.store.start()
     installation.publish(routes)
     for number in range(3):
         await installation.add_backend(f"i-{number}")
     for number in range(GATEWAYS):
-        rate = FAST if number == 3 else link
+        rate = FAST_MBPS if number == 3 else link
         await installation.add_gateway(f"gw-{number}", link=rate, limited=True)
-    await asyncio.sleep(SETTLED)
-    assert late(installation) == []
+    await asyncio.sleep(SETTLING_SECONDS)
+    assert outdated_gateways(installation) == []
     return installation
 
 
-def late(installation):
-    """Return the names of processes without the version published last."""
+def outdated_gateways(installation):
+    """Return the names of processes without the latest published version."""
     version = installation.version
     return [
         name
@@ -55,7 +55,7 @@
     ]
 
 
-async def refusing(installation, route):
+async def refusing_gateways(installation, route):
     """Return the names of processes that do not serve ``route``."""
     names = list(installation.processes)
     path = f"{route['prefix']}x"
@@ -67,96 +67,107 @@
 
 
 @in_memory
-async def test_watch_is_not_left_while_a_large_configuration_arrives():
-    """Published at several moments between two heartbeats, which tell of it."""
-    installation = await settled([standins.WireWorld.route()], USUAL)
+async def test_watch_is_kept_while_a_large_configuration_arrives():
+    """Publications at several times between two heartbeats, which announce them."""
+    installation = await start_settled_installation(
+        [standins.WireWorld.route()], USUAL_MBPS
+    )
     for number in range(PUBLICATIONS):
-        await asyncio.sleep(BETWEEN)
+        await asyncio.sleep(PAUSE_SECONDS)
         routes = standins.many_routes(ROUTES, seed=number)
         installation.publish(routes)
-        await asyncio.sleep(CONFIG_APPLY)
-        assert (number, late(installation)) == (number, [])
-        assert (number, await refusing(installation, routes[-1])) == (number, [])
+        await asyncio.sleep(PROPAGATION_LIMIT_SECONDS)
+        assert (number, outdated_gateways(installation)) == (number, [])
+        assert (number, await refusing_gateways(installation, routes[-1])) == (
+            number,
+            [],
+        )
 
 
 @in_memory
 async def test_small_change_of_a_large_configuration_arrives_on_slow_links():
     routes = standins.many_routes(ROUTES)
-    installation = await settled(routes, SLOW)
+    installation = await start_settled_installation(routes, SLOW_MBPS)
     routes += standins.many_routes(1, seed=2)
     installation.publish(routes)
-    await asyncio.sleep(CONFIG_APPLY)
-    assert late(installation) == []
-    assert await refusing(installation, routes[-1]) == []
+    await asyncio.sleep(PROPAGATION_LIMIT_SECONDS)
+    assert outdated_gateways(installation) == []
+    assert await refusing_gateways(installation, routes[-1]) == []
 
 
 @in_memory
 async def test_process_on_a_slow_link_starts_in_time_with_a_large_configuration():
     routes = standins.many_routes(ROUTES)
-    installation = await settled(routes, SLOW)
-    process = await installation.add_gateway("gw-new", link=SLOW, limited=True)
-    await asyncio.sleep(START)
+    installation = await start_settled_installation(routes, SLOW_MBPS)
+    process = await installation.add_gateway("gw-new", link=SLOW_MBPS, limited=True)
+    await asyncio.sleep(STARTUP_LIMIT_SECONDS)
     assert process.board.ready
-    assert await refusing(installation, routes[0]) == []
+    assert await refusing_gateways(installation, routes[0]) == []
 
 
 @in_memory
-async def test_first_reading_has_no_limit_while_it_arrives():
-    """A reading of over a second was given up and begun anew, for ever."""
+async def test_first_read_has_no_timeout_while_it_arrives():
+    """A read that took over a second was aborted and restarted without end."""
     installation = standins.WireWorld()
     await installation.store.start()
     installation.publish(standins.many_routes(ROUTES))
     backend = await installation.add_backend("i-0")
     for number in range(ENTRIES):
         installation.store.put(f"servers/i-x{number}", backend.entry("other"))
-    process = await installation.add_gateway("gw-0", link=SLOW, limited=True)
-    await asyncio.sleep(START)
+    process = await installation.add_gateway("gw-0", link=SLOW_MBPS, limited=True)
+    await asyncio.sleep(STARTUP_LIMIT_SECONDS)
     assert process.board.ready
 
 
 @in_memory
-async def test_source_that_falls_silent_in_the_middle_of_an_answer_is_left():
-    installation = await settled([standins.WireWorld.route()], USUAL)
+async def test_source_that_stalls_during_a_response_is_replaced():
+    installation = await start_settled_installation(
+        [standins.WireWorld.route()], USUAL_MBPS
+    )
     installation.publish(standins.many_routes(ROUTES))
     await asyncio.sleep(0.2)
     for one, other in installation.network.connections:
         if {one.local[0], one.remote[0]} == {"gw-0", "gw-3"}:
             one.silent = other.silent = True
-    await asyncio.sleep(CONFIG_APPLY)
-    assert late(installation) == []
+    await asyncio.sleep(PROPAGATION_LIMIT_SECONDS)
+    assert outdated_gateways(installation) == []
 
 
 @in_memory
-async def test_missing_route_is_not_denied_while_the_configuration_is_behind():
-    installation = await settled([standins.WireWorld.route()], TINY)
+async def test_unknown_route_gets_503_while_the_configuration_is_outdated():
+    installation = await start_settled_installation(
+        [standins.WireWorld.route()], TINY_MBPS
+    )
     routes = standins.many_routes(ROUTES)
     installation.publish(routes)
     await asyncio.sleep(0.7)
-    behind = late(installation)
-    assert len(behind) == GATEWAYS - 1
+    outdated = outdated_gateways(installation)
+    assert len(outdated) == GATEWAYS - 1
     arguments = {"path": f"{routes[-1]['prefix']}x", "host": routes[-1]["host"]}
-    refused = await installation.call(to=behind[0], **arguments)
+    refused = await installation.call(to=outdated[0], **arguments)
     assert refused.status == 503
     assert float(refused.headers["retry-after"]) > 0
     await asyncio.sleep(60.0)
-    assert (await installation.call(to=behind[0], **arguments)).status == 200
-    assert (await installation.call("/none/", to=behind[0])).status == 404
+    assert (await installation.call(to=outdated[0], **arguments)).status == 200
+    assert (await installation.call("/none/", to=outdated[0])).status == 404
 
 
 @in_memory
-async def test_process_whose_source_breaks_off_does_not_read_all_anew():
-    installation = await settled(standins.many_routes(ROUTES), USUAL)
+async def test_lost_connection_to_the_source_causes_no_full_read():
+    installation = await start_settled_installation(
+        standins.many_routes(ROUTES), USUAL_MBPS
+    )
     counters = installation.processes["gw-0"].board.counters
     before = counters["sources.bytes"]
     for one, _ in installation.network.connections:
         if one.local[0] == "gw-0" and one.remote == ("gw-3", standins.PEER_PORT):
             one.abort()
-    await asyncio.sleep(CONFIG_APPLY)
-    assert counters["sources.bytes"] - before < CONTROL_BYTES
+    await asyncio.sleep(PROPAGATION_LIMIT_SECONDS)
+    assert counters["sources.bytes"] - before < CONTROL_BYTES_PER_SECOND
 
 
 @in_memory
-async def test_first_requests_wait_while_the_first_reading_arrives():
+async def test_first_requests_wait_while_the_first_read_arrives():
     installation = standins.WireWorld()
     await installation.store.start()
     routes = standins.many_routes(ROUTES)
@@ -165,8 +176,8 @@
     await installation.add_gateway("gw-0", link=2.0, limited=True)
     await asyncio.sleep(0.5)
     arguments = {"path": f"{routes[0]['prefix']}x", "host": routes[0]["host"]}
-    patient = installation.call(**arguments, x_deadline_ms="2500")
-    hurried = installation.call(**arguments, x_deadline_ms="800")
-    replies = await asyncio.gather(patient, hurried)
+    long_deadline = installation.call(**arguments, x_deadline_ms="2500")
+    short_deadline = installation.call(**arguments, x_deadline_ms="800")
+    replies = await asyncio.gather(long_deadline, short_deadline)
     assert [reply.status for reply in replies] == [200, 503]
     assert replies[1].seconds < 1.0
--- a/boragegw/platform/tests/test_paged_reads.py
+++ b/boragegw/platform/tests/test_paged_reads.py
@@ -1,4 +1,4 @@
-"""A store with many keys is read in pages, while keys come and go."""
+"""Paged reads of a store whose keys change meanwhile."""
 
 import asyncio
 
@@ -15,10 +15,10 @@
 
 @pytest.mark.parametrize("deleted", [1, 2, 20])
 @in_memory
-async def test_keys_deleted_while_one_reads_do_not_make_all_read_anew(deleted):
-    """The one that reads the store was cut off; each follower then read all."""
+async def test_keys_deleted_during_a_paged_read_cause_no_full_reads(deleted):
+    """After a reconnect of the process at the store, each follower read all keys."""
     store = test_sources.SlowStore(("store", 1))
-    installation = await test_sources.world(store, page=PAGE)
+    installation = await test_sources.start_store(store, page=PAGE)
     for number in range(KEYS):
         store.put(f"z/{number:03}", b"{}")
     installation.publish([standins.WireWorld.route()])
@@ -28,11 +28,11 @@
     await asyncio.sleep(5.0)
     processes = installation.processes.values()
     (root,) = [p for p in processes if p.own.watches_store]
-    lost = []
+    missed = []
     for process in processes:
         event = process.log.event
         process.log.event = lambda kind, event=event, **fields: (
-            lost.append(kind) if kind in ("history-lost", "changes-missed") else None,
+            missed.append(kind) if kind in ("history-lost", "changes-missed") else None,
             event(kind, **fields),
         )
     store.delay = 0.05
@@ -46,4 +46,4 @@
     for process in processes:
         assert len(process.catalogue.snapshot().records) == KEYS - deleted + 2
     assert root.catalogue.position == store.revision
-    assert lost == []
+    assert missed == []
--- a/boragegw/platform/tests/test_recovery.py
+++ b/boragegw/platform/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery in memory: store away, machines cut off, connections gone silent."""
+"""Recovery from store outages, network partitions and silent connections."""
 
 import asyncio
 
@@ -10,34 +10,34 @@
 in_memory = standins.in_memory
 
 
-async def world(**fields):
+async def start_installation(**fields):
     return await standins.WireWorld().start(**fields)
 
 
-async def knows(installation, name):
-    """Return whether a gateway has the configuration with the route ``/new/`` alone."""
+async def has_new_configuration(installation, name):
+    """Return whether a gateway serves the route ``/new/`` and no longer ``/old/``."""
     found = await installation.call("/new/1", to=name)
     missing = await installation.call("/old/1", to=name)
     return (found.status, missing.status) == (200, 404)
 
 
 @in_memory
-async def test_process_that_the_store_turns_away_learns_from_its_peers():
-    """The store serves some machines and not others. A machine that it turns away
-    must take over a new configuration and a recall in the same few seconds.
+async def test_process_that_the_store_rejects_learns_from_its_peers():
+    """The store serves some VMs and rejects others. A rejected VM must adopt a new
+    configuration or recall within the same few seconds.
     """
-    installation = await world(gateways=3)
+    installation = await start_installation(gateways=3)
     await asyncio.sleep(2.0)
     installation.network.cut("gw-1", "store")
     await asyncio.sleep(3.0)
     installation.publish([installation.route("/new/")])
     await asyncio.sleep(1.5)
-    assert await knows(installation, "gw-1")
+    assert await has_new_configuration(installation, "gw-1")
 
 
 @in_memory
-async def test_process_that_starts_while_the_store_is_away_begins_with_its_peers():
-    installation = await world(gateways=2)
+async def test_process_that_starts_during_a_store_outage_reads_its_peers():
+    installation = await start_installation(gateways=2)
     await asyncio.sleep(2.0)
     installation.store.status = 503
     await asyncio.sleep(2.0)
@@ -47,9 +47,9 @@
 
 
 @in_memory
-async def test_process_that_starts_beside_a_peer_the_store_serves_is_ready_soon():
-    """A machine starts behind a partition from the store; its peers are in reach."""
-    installation = await world(gateways=2)
+async def test_process_that_starts_without_the_store_is_ready_soon():
+    """A VM starts partitioned from the store, while its peers are reachable."""
+    installation = await start_installation(gateways=2)
     await asyncio.sleep(2.0)
     installation.network.cut("gw-9", "store")
     await installation.add_gateway("gw-9")
@@ -59,14 +59,15 @@
 
 @pytest.mark.parametrize("back_after", [0.5, 1.5, None])
 @in_memory
-async def test_entries_that_lapse_with_the_store_are_kept_until_they_may_be_back(
+async def test_entries_that_expire_in_a_store_outage_are_kept_for_a_grace_period(
     back_after,
 ):
-    """The store is away for ten seconds and all entries lapse meanwhile. When it is
-    back it lists no server; those that live register again within two seconds.
-    Refusing until then would be an outage of our own; one that stays away is gone.
+    """All entries expire in a store outage of ten seconds. Afterwards the store lists
+    no server until the live ones register again, which takes up to two seconds.
+    Refusing requests until then would be an avoidable outage; a server that does not
+    register within the grace period is removed.
     """
-    installation = await world(backends=2)
+    installation = await start_installation(backends=2)
     installation.store.status = 503
     for one, _ in installation.network.connections:
         if one.remote == STORE:
@@ -96,12 +97,12 @@
 
 
 @in_memory
-async def test_silent_connections_cost_no_request():
-    """Something between the machines forgets all open connections without a reset;
-    new ones work. A payment sent on one of them would be lost without an answer. The
-    question before it finds out, and the payment goes out on a living connection.
+async def test_silently_dropped_connections_fail_no_request():
+    """A network device drops all open connections without a reset; new ones work. A
+    payment sent on a dropped connection would be lost without a response. The probe
+    before it detects this, and the payment is sent on a working connection.
     """
-    installation = await world(kind="unsafe", gateways=2)
+    installation = await start_installation(kind="unsafe", gateways=2)
     for number in range(20):
         await installation.call(f"/{number}", "POST", b"1")
     for backend in installation.backends.values():
@@ -116,10 +117,10 @@
 
 @in_memory
 async def test_partition_between_processes_heals():
-    """Two halves of the fleet lose sight of each other for long. Afterwards all know
-    each other again, although each half had forgotten the other.
+    """Two halves of the fleet are partitioned for so long that each removes the other
+    from its membership. After the partition heals, all processes must rejoin.
     """
-    installation = await world(gateways=4)
+    installation = await start_installation(gateways=4)
     await asyncio.sleep(3.0)
     for one in ("gw-0", "gw-1"):
         for other in ("gw-2", "gw-3"):
@@ -135,8 +136,8 @@
 
 
 @in_memory
-async def test_crashed_servers_cost_idempotent_requests_nothing():
-    installation = await world(backends=4)
+async def test_crashed_servers_fail_no_idempotent_request():
+    installation = await start_installation(backends=4)
     for number in range(10):
         await installation.call(f"/{number}")
     installation.backends["i-0"].stop()
@@ -147,10 +148,10 @@
 
 @in_memory
 async def test_calls_to_the_store_do_not_grow_with_the_fleet():
-    """Calls to the store are scarce: ten processes of one data centre watch it with
-    one connection, and a change costs one call and not ten.
+    """Calls to the store are limited: ten processes of one data centre must share one
+    watch, so that a change costs one call instead of ten.
     """
-    installation = await world(gateways=10)
+    installation = await start_installation(gateways=10)
     await asyncio.sleep(10.0)
     before = installation.store.calls
     for _ in range(10):
@@ -158,4 +159,4 @@
         await asyncio.sleep(1.0)
     assert installation.store.calls - before <= 15
     for name in installation.processes:
-        assert await knows(installation, name)
+        assert await has_new_configuration(installation, name)
--- a/boragegw/platform/tests/test_requests.py
+++ b/boragegw/platform/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""The whole path in memory: callers, gateways, store, backend servers."""
+"""End-to-end requests in memory: callers, gateways, store, backend servers."""
 
 import asyncio
 
@@ -9,13 +9,13 @@
 in_memory = standins.in_memory
 
 
-async def world(**fields):
+async def start_installation(**fields):
     return await standins.WireWorld().start(**fields)
 
 
 @in_memory
-async def test_request_gets_the_whole_answer_of_a_backend_server():
-    installation = await world()
+async def test_request_gets_the_complete_response_of_a_backend_server():
+    installation = await start_installation()
     reply = await installation.call("/x?y=1", "POST", b"body")
     assert reply.status == 200
     ((request_id, target, body),) = installation.runs()
@@ -27,16 +27,16 @@
 
 @in_memory
 async def test_unknown_path_and_host_are_not_found():
-    installation = await world(prefix="/a/")
+    installation = await start_installation(prefix="/a/")
     assert (await installation.call("/a/1")).status == 200
     assert (await installation.call("/b/1")).status == 404
     assert (await installation.call("/a/1", host="other.example")).status == 404
 
 
 @in_memory
-async def test_process_without_a_configuration_refuses_as_not_run():
-    """A process that starts while the store is down must not say 404: the route may
-    exist. It says that nothing was run and when to come back.
+async def test_process_without_a_configuration_returns_503_and_retry_after():
+    """The store is down during startup. A 404 would be wrong, as the route may exist:
+    the response says that nothing was executed and when to retry.
     """
     installation = standins.WireWorld()
     await installation.add_gateway("gw-0")
@@ -49,9 +49,9 @@
 
 
 @in_memory
-async def test_request_right_after_the_start_waits_for_the_first_configuration():
-    """All processes are lost at once and start again. Callers come before the first
-    read of the store has ended; refused, they would have used up their last try.
+async def test_request_during_startup_waits_for_the_first_configuration():
+    """All processes restart at once and callers arrive before the first read of the
+    store has finished. A refusal would use up their last attempt.
     """
     installation = standins.WireWorld()
     await installation.store.start()
@@ -63,11 +63,11 @@
 
 
 @in_memory
-async def test_non_idempotent_request_is_not_sent_again_after_a_reset():
-    """A backend server runs a payment and its answer is lost with the connection. A
-    second send would pay twice; the caller is told that it may have run.
+async def test_non_idempotent_request_is_not_retried_after_a_reset():
+    """A backend server executes a payment and its connection is reset before the
+    response. A retry would pay twice; a 502 says that it may have been executed.
     """
-    installation = await world(kind="unsafe")
+    installation = await start_installation(kind="unsafe")
     for backend in installation.backends.values():
         backend.faults.reset_after_run = True
     reply = await installation.call("/pay", "POST", b"1")
@@ -76,19 +76,19 @@
 
 
 @in_memory
-async def test_idempotent_request_is_sent_again_after_a_reset():
-    installation = await world()
+async def test_idempotent_request_is_retried_after_a_reset():
+    installation = await start_installation()
     installation.backends["i-0"].faults.reset_after_run = True
     replies = [await installation.call(f"/{n}") for n in range(10)]
     assert [reply.status for reply in replies] == [200] * 10
 
 
 @in_memory
-async def test_refused_request_is_sent_to_another_server():
-    """A full backend server says that it has not run a payment. That is proof, so
-    another one may run it, once.
+async def test_refused_request_is_retried_on_another_server():
+    """A full backend server reports that it did not execute a payment. A retry on
+    another server is then safe; it must be executed at most once.
     """
-    installation = await world(kind="unsafe")
+    installation = await start_installation(kind="unsafe")
     first, second, _ = installation.backends.values()
     first.faults.not_run = second.faults.not_run = 503
     replies = [await installation.call(f"/{n}", "POST", b"1") for n in range(5)]
@@ -98,8 +98,8 @@
 
 
 @in_memory
-async def test_truncated_answer_is_never_passed_on_as_whole():
-    installation = await world(kind="unsafe")
+async def test_truncated_response_is_not_forwarded_as_complete():
+    installation = await start_installation(kind="unsafe")
     for backend in installation.backends.values():
         backend.faults.truncate = True
     reply = await installation.call("/pay", "POST", b"1")
@@ -107,8 +107,8 @@
 
 
 @in_memory
-async def test_answer_without_a_length_is_whole_at_the_end_of_its_connection():
-    installation = await world()
+async def test_response_without_a_length_ends_with_its_connection():
+    installation = await start_installation()
     for backend in installation.backends.values():
         backend.faults.unframed = True
     reply = await installation.call("/x")
@@ -117,11 +117,12 @@
 
 
 @in_memory
-async def test_late_second_answer_reaches_nobody():
-    """A backend server sends each answer a second time, late, where the next one is
-    due. Without a look at the id, the next caller would get another one's answer.
+async def test_duplicate_response_is_discarded():
+    """A backend server sends each response twice, and the duplicate arrives where the
+    next response is due. Without a check of the request ID, the next caller would get
+    the response to another request.
     """
-    installation = await world(backends=1)
+    installation = await start_installation(backends=1)
     installation.backends["i-0"].faults.extra_late = True
     for number in range(10):
         reply = await installation.call(f"/{number}")
@@ -134,8 +135,8 @@
 
 
 @in_memory
-async def test_no_answer_in_time_ends_at_the_routes_timeout():
-    installation = await world(kind="unsafe", timeout_s=0.5)
+async def test_missing_response_ends_at_the_timeout_of_the_route():
+    installation = await start_installation(kind="unsafe", timeout_s=0.5)
     for backend in installation.backends.values():
         backend.faults.silent = True
     reply = await installation.call("/pay", "POST", b"1")
@@ -144,16 +145,16 @@
 
 
 @in_memory
-async def test_time_left_is_passed_on():
-    installation = await world(timeout_s=2.0)
+async def test_remaining_deadline_is_forwarded():
+    installation = await start_installation(timeout_s=2.0)
     await installation.call("/x", x_deadline_ms="700")
     (backend,) = [b for b in installation.backends.values() if b.runs]
     assert 600 <= backend.deadlines[backend.runs[0][0]] <= 700
 
 
 @in_memory
-async def test_leaving_server_gets_no_new_work():
-    installation = await world(kind="unsafe")
+async def test_draining_server_gets_no_new_requests():
+    installation = await start_installation(kind="unsafe")
     installation.store.put(
         "servers/i-0", installation.backends["i-0"].entry("app", state="draining")
     )
@@ -165,8 +166,8 @@
 
 
 @in_memory
-async def test_evacuated_data_centre_gets_no_new_work_until_it_is_returned():
-    installation = await world(backends=4, data_centres=("dc-a", "dc-b"))
+async def test_evacuated_data_centre_gets_no_requests_until_it_is_restored():
+    installation = await start_installation(backends=4, data_centres=("dc-a", "dc-b"))
     installation.store.put("op/evacuate/dc-a", {})
     await asyncio.sleep(1.0)
     for number in range(20):
@@ -181,11 +182,11 @@
 
 
 @in_memory
-async def test_address_of_another_server_runs_nothing():
-    """A backend server ended and its address went to another service. Its health
-    answer names another server, so nothing is sent there.
+async def test_reused_address_of_another_server_gets_no_requests():
+    """A backend server stopped and its address was reassigned to another service. The
+    health response names a different server, so no request is sent there.
     """
-    installation = await world()
+    installation = await start_installation()
     installation.backends["i-0"].identity = "i-9"
     for number in range(20):
         assert (await installation.call(f"/{number}")).status == 200
@@ -193,11 +194,11 @@
 
 
 @in_memory
-async def test_cold_server_gets_only_its_rate():
-    """All backend servers of a service come back cold at once. Full load would fell
-    them again; each gets at most what it bears, and the rest is refused as not run.
+async def test_cold_server_gets_only_its_warm_up_rate():
+    """All backend servers of a service restart cold at once, and full load would crash
+    them again. Each gets at most its warm-up rate; the rest is refused unexecuted.
     """
-    installation = await world(backends=2)
+    installation = await start_installation(backends=2)
     for backend in installation.backends.values():
         backend.faults.cold_ms = 60_000
     replies = await asyncio.gather(*(installation.call(f"/{n}") for n in range(60)))
@@ -210,8 +211,8 @@
 
 
 @in_memory
-async def test_caller_that_leaves_ends_the_work_of_an_idempotent_request():
-    installation = await world()
+async def test_disconnect_of_the_caller_cancels_an_idempotent_request():
+    installation = await start_installation()
     for backend in installation.backends.values():
         backend.work = 1.0
     call = asyncio.ensure_future(installation.call("/x"))
@@ -225,11 +226,11 @@
 
 
 @in_memory
-async def test_planned_stop_cuts_off_nobody():
-    """A process is stopped while callers still hold its address. Those that come
-    within the next seconds are served, and every answer that was begun is whole.
+async def test_graceful_stop_interrupts_no_request():
+    """A process is stopped while callers still cache its address. Their requests of
+    the next seconds are served, and every response that was started is completed.
     """
-    installation = await world(gateways=2)
+    installation = await start_installation(gateways=2)
     await asyncio.sleep(2.0)
     process = installation.processes["gw-0"]
     stopping = asyncio.ensure_future(process.stop())
@@ -248,12 +249,12 @@
 
 
 @in_memory
-async def test_request_that_crashes_its_servers_is_refused_by_every_process():
-    """A request crashes each backend server that runs it, and its caller sends it
-    again and again, at any process. After the third crash no process passes it on,
-    while other requests are served as before.
+async def test_request_that_crashes_its_servers_is_quarantined_by_every_process():
+    """A request crashes each backend server that executes it, and its caller retries
+    it through all processes. After the third crash no process forwards it, while other
+    requests are still served.
     """
-    installation = await world(gateways=2, backends=8)
+    installation = await start_installation(gateways=2, backends=8)
     await asyncio.sleep(2.0)
     for backend in installation.backends.values():
         backend.faults.crash_on = b"/poison"
@@ -269,8 +270,8 @@
 
 
 @in_memory
-async def test_large_answers_come_from_the_own_data_centre():
-    installation = await world(
+async def test_downloads_are_served_from_the_local_data_centre():
+    installation = await start_installation(
         backends=6, data_centres=("dc-a", "dc-b"), kind="download"
     )
     for number in range(20):
@@ -280,11 +281,11 @@
 
 
 @in_memory
-async def test_ill_server_gets_no_work_while_few_questions_are_allowed():
-    """A server that leaves fails its health check. With the budget of probes spent, it
-    was the only server asked and got the request, two seconds after it had left.
+async def test_unhealthy_server_gets_no_requests_without_probe_budget():
+    """A leaving server fails its health check. With the probe budget exhausted it was
+    the only server probed, and it got the request two seconds after it had left.
     """
-    installation = await world(backends=4, kind="unsafe")
+    installation = await start_installation(backends=4, kind="unsafe")
     installation.backends["i-0"].faults.healthy = False
     process = installation.processes["gw-0"]
     process.carrier.state("app").probes = balancing.ProbeBudget(rate=0.0)
@@ -296,11 +297,11 @@
 
 
 @in_memory
-async def test_late_and_failed_requests_are_explained_in_the_log():
-    """An engineer has a request's id and the logs, and asks why it was late or failed:
-    which servers were chosen, by what report, when, and how each send ended.
+async def test_late_and_failed_requests_are_logged_with_their_attempts():
+    """Given a request ID, the log must show why the request was late or failed: which
+    servers were chosen, by which load report, when, and how each attempt ended.
     """
-    installation = await world(kind="unsafe", backends=2)
+    installation = await start_installation(kind="unsafe", backends=2)
     events = []
     log = installation.processes["gw-0"].log
     log.event = lambda kind, **fields: events.append((kind, fields))
@@ -321,11 +322,11 @@
 
 
 @in_memory
-async def test_request_outlives_the_configuration_that_admitted_it():
-    """A request waits for room while a new configuration takes its route to another
-    service. It is refused or served, and no error of the process ends it.
+async def test_queued_request_survives_a_change_of_its_route():
+    """A request is queued while a new configuration moves its route to another service.
+    It must be served or refused, and not fail with an internal error.
     """
-    installation = await world(backends=1)
+    installation = await start_installation(backends=1)
     installation.backends["i-0"].load = "6,0,6,100"
     waiting = asyncio.create_task(installation.call("/x"))
     await asyncio.sleep(0.02)
--- a/boragegw/platform/tests/test_rollout.py
+++ b/boragegw/platform/tests/test_rollout.py
@@ -4,32 +4,32 @@
 
 from benchmarks import rollout
 
-#: Seconds after a publication until it is in force everywhere, the users' bound.
-CONFIG_APPLY = 2.5
-#: Bytes that control may cost a process in a second, the users' bound.
-CONTROL_BYTES = 14_000
+#: Longest time from a publication until it is in force in every process; users' limit.
+PROPAGATION_LIMIT_SECONDS = 2.5
+#: Control traffic that a process may cause in a second; users' limit.
+CONTROL_BYTES_PER_SECOND = 14_000
 PROCESSES = 100
 ROUTES = 1300
 
 
 @pytest.fixture(scope="module")
-def spreads():
+def rollouts():
     return rollout.play(rollout.Case(PROCESSES, ROUTES, seed=1))
 
 
-def test_large_configuration_reaches_a_hundred_processes_in_time(spreads):
-    assert spreads[0].all < CONFIG_APPLY
+def test_large_configuration_reaches_a_hundred_processes_in_time(rollouts):
+    assert rollouts[0].all < PROPAGATION_LIMIT_SECONDS
 
 
-def test_small_change_of_a_large_configuration_reaches_them_in_time(spreads):
-    assert spreads[1].all < CONFIG_APPLY
+def test_small_change_of_a_large_configuration_reaches_them_in_time(rollouts):
+    assert rollouts[1].all < PROPAGATION_LIMIT_SECONDS
 
 
-def test_small_changes_one_after_the_other_cost_them_few_bytes(spreads):
-    """A source told the difference to the version in between, which none has."""
-    assert 0 < spreads[2].most_received < CONTROL_BYTES
+def test_consecutive_small_changes_cost_few_bytes(rollouts):
+    """A source sent the difference to an intermediate version that no follower had."""
+    assert 0 < rollouts[2].most_received < CONTROL_BYTES_PER_SECOND
 
 
-def test_small_change_costs_a_process_that_follows_another_few_bytes(spreads):
-    assert 0 < spreads[1].received < CONTROL_BYTES
-    assert 0 < spreads[1].most_received < CONTROL_BYTES
+def test_small_change_costs_a_follower_few_bytes(rollouts):
+    assert 0 < rollouts[1].received < CONTROL_BYTES_PER_SECOND
+    assert 0 < rollouts[1].most_received < CONTROL_BYTES_PER_SECOND
--- a/boragegw/platform/tests/test_slow_sources.py
+++ b/boragegw/platform/tests/test_slow_sources.py
@@ -1,4 +1,4 @@
-"""What a process does while a source that it asks is slow or fails."""
+"""Replication while a source is slow or fails."""
 
 import asyncio
 
@@ -12,13 +12,13 @@
 
 in_memory = standins.in_memory
 
-#: Seconds after a publication until it is in force everywhere, the shortest of the
-#: users' bounds.
-WITHIN = 2.0
+#: Longest time from a publication until it is in force in every process, the strictest
+#: limit that the users set.
+PROPAGATION_LIMIT_SECONDS = 2.0
 
 
-def recorded(process, events):
-    """Note what the process's follower logs."""
+def record_events(process, events):
+    """Append the log events of the process's follower to ``events``."""
     log = process.follower.log
     logged = log.event
 
@@ -30,22 +30,22 @@
 
 
 @in_memory
-async def test_second_answer_goes_on_where_the_first_source_fails(monkeypatch):
-    """The second one is half here when the first, slow one breaks off."""
-    installation = await test_sources.trickling(monkeypatch)
+async def test_second_response_continues_if_the_first_source_fails(monkeypatch):
+    """The slow first source fails when the second response is half received."""
+    installation = await test_sources.start_with_slow_source(monkeypatch)
     process = installation.processes["gw-1"]
     events = []
-    recorded(process, events)
+    record_events(process, events)
     installation.publish(standins.many_routes(1300))
     await asyncio.sleep(0.3)
-    assert test_large_configuration.late(installation) == ["gw-1", "gw-2"]
+    assert test_large_configuration.outdated_gateways(installation) == ["gw-1", "gw-2"]
     installation.network.set_link("store", 1.0)
     installation.network._incoming.clear()
     await asyncio.sleep(2.7)
     assert [kind for kind, _ in events].count("source-slow") == 1
     received = process.follower.store.progress.received
     assert received > 20_000
-    test_sources._break_off(installation, "gw-1", "gw-0")
+    test_sources._abort_connections(installation, "gw-1", "gw-0")
     await asyncio.sleep(0.5)
     left = [fields for kind, fields in events if kind == "source-left"]
     assert left == []
@@ -53,35 +53,35 @@
 
 
 @in_memory
-async def test_third_source_is_asked_where_the_second_one_fails(monkeypatch):
-    """The store fails for a moment, just when it is asked beside a slow source."""
-    installation = await test_sources.trickling(monkeypatch)
+async def test_third_source_is_asked_if_the_second_one_fails(monkeypatch):
+    """The store fails briefly when it is asked in parallel to a slow source."""
+    installation = await test_sources.start_with_slow_source(monkeypatch)
     installation.publish(standins.many_routes(1300))
     await asyncio.sleep(0.3)
-    assert test_large_configuration.late(installation) == ["gw-1", "gw-2"]
+    assert test_large_configuration.outdated_gateways(installation) == ["gw-1", "gw-2"]
     installation.store.status = 503
     await asyncio.sleep(3.0)
     installation.store.status = None
     await asyncio.sleep(17.0)
-    assert test_large_configuration.late(installation) == []
+    assert test_large_configuration.outdated_gateways(installation) == []
 
 
 @in_memory
-async def test_followers_on_slow_links_do_not_all_ask_the_store():
-    """Their own links are full: a second answer only makes both arrive later."""
-    installation = await test_sources.world()
+async def test_followers_on_slow_links_do_not_all_read_the_store():
+    """The links of the followers are saturated: a second response would delay both."""
+    installation = await test_sources.start_store()
     installation.publish([standins.WireWorld.route()])
     await installation.add_backend("i-0")
     for number in range(30):
         rate = 200.0 if number == 0 else 1.0
         await installation.add_gateway(f"gw-{number}", link=rate, limited=True)
     await asyncio.sleep(10.0)
-    assert test_large_configuration.late(installation) == []
+    assert test_large_configuration.outdated_gateways(installation) == []
     before = installation.store.calls
     installation.publish(standins.many_routes(13000))
     await asyncio.sleep(20.0)
     calls = installation.store.calls - before
-    late = len(test_large_configuration.late(installation))
+    late = len(test_large_configuration.outdated_gateways(installation))
     totals = {}
     for process in installation.processes.values():
         for name, value in process.board.counters.items():
@@ -91,33 +91,33 @@
 
 
 @in_memory
-async def test_history_that_is_lost_again_and_again_ends_no_process():
-    """For 20 minutes; the pause is 1 s at most, but 2**1024 is no float."""
+async def test_repeated_loss_of_the_history_stops_no_process():
+    """The back-off is capped at 1 s, but after 20 minutes 2**1024 overflows a float."""
 
-    class Forgetful(_wire_store.WireStore):
+    class StoreWithoutHistory(_wire_store.WireStore):
         async def _watch(self, query):
             return gateway.Reply(410)
 
-    installation = await test_sources.world(Forgetful(("store", 1)))
+    installation = await test_sources.start_store(StoreWithoutHistory(("store", 1)))
     installation.publish([standins.WireWorld.route()])
     process = await installation.add_gateway("gw-0")
     events = []
-    recorded(process, events)
+    record_events(process, events)
     await asyncio.sleep(2.0)
     for _ in range(1100):
         await process.follower._pause_if_lost_again()
 
 
 @in_memory
-async def test_reading_that_is_older_does_not_replace_the_full_one_that_is_due():
-    """After a watch of the store was cut only a full reading tells what it missed."""
+async def test_outdated_read_does_not_replace_a_required_full_one():
+    """After a broken watch of the store, only a full read shows what it missed."""
     installation = await standins.WireWorld().start(gateways=2)
     await asyncio.sleep(5.0)
     root = next(n for n, p in installation.processes.items() if p.own.watches_store)
     follower = installation.processes[root].follower
     follower._must_reread = True
 
-    class Behind:
+    class OutdatedSource:
         progress = follower.store.progress
 
         async def read_all(self):
@@ -125,13 +125,13 @@
             return gateway.Reading([], position)
 
     with pytest.raises(gateway.SourceError, match="knows less"):
-        await follower._reread("other", Behind())
+        await follower._reread("other", OutdatedSource())
     assert follower._must_reread
 
 
 @in_memory
-async def test_record_that_is_told_twice_is_still_passed_on_in_few_bytes():
-    """A full reading in pages shows a later record; the first watch tells it again."""
+async def test_repeated_record_is_replicated_in_few_bytes():
+    """A paged read contains a later record, which the first watch repeats."""
     pair = await test_replication.Pair().start(test_replication.large())
     before = pair.counters["sources.bytes"]
     later = test_replication.large() + b"x"
@@ -145,10 +145,10 @@
 
 
 @in_memory
-async def test_callers_that_have_left_do_not_wait_for_the_first_reading():
+async def test_disconnected_callers_do_not_wait_for_the_first_read():
     store = test_sources.SlowStore(("store", 1))
     store.delay = test_sources.PAGE_DELAY
-    installation = await test_sources.world(store, page=50)
+    installation = await test_sources.start_store(store, page=50)
     for number in range(3000):
         store.put(f"a/{number}", b"{}")
     installation.publish([standins.WireWorld.route()])
@@ -169,7 +169,7 @@
 
 
 class SilentStore(gateway.Source):
-    """A store that takes questions and never answers."""
+    """A store that accepts requests and never responds."""
 
     @property
     def progress(self):
@@ -186,8 +186,8 @@
 
 
 @in_memory
-async def test_change_that_the_store_hides_from_some_is_asked_of_those_that_know():
-    """Two of three data centres kept asking a store that answered only the third."""
+async def test_change_missing_at_the_store_is_read_from_peers_that_have_it():
+    """Two of three data centres kept asking a store that served only the third."""
     installation = await standins.WireWorld().start(
         gateways=18, data_centres=("dc-a", "dc-b", "dc-c")
     )
@@ -201,14 +201,17 @@
     await asyncio.sleep(5.0)
     for number in range(5):
         installation.publish([installation.route(f"/{number}/")])
-        await asyncio.sleep(WITHIN)
-        assert (number, test_large_configuration.late(installation)) == (number, [])
+        await asyncio.sleep(PROPAGATION_LIMIT_SECONDS)
+        assert (number, test_large_configuration.outdated_gateways(installation)) == (
+            number,
+            [],
+        )
         await asyncio.sleep(5.0)
 
 
 @in_memory
-async def test_delayed_entry_of_a_doubted_server_is_not_passed_on():
-    """The draining entry lapses in trouble; then an older report is put once more."""
+async def test_delayed_entry_of_a_retained_server_is_not_replicated():
+    """The draining entry expires in a store outage; then an older report arrives."""
     installation = await standins.WireWorld().start(gateways=2)
     await asyncio.sleep(3.0)
     leaving = installation.backends["i-0"]
@@ -230,7 +233,7 @@
 
 
 def test_key_deleted_between_two_pages_is_no_missed_change():
-    """The reading's position is the first page's; the deletion comes after it."""
+    """A read has the position of its first page; the deletion happens later."""
     source = test_catalogue.catalogue()
     source.adopt_snapshot(test_catalogue.reading(10, a=1, b=2))
     source.adopt_snapshot(test_catalogue.reading(10, a=1))  # b deleted at 11
@@ -238,12 +241,12 @@
     try:
         source.changes(10, 0)
     except gateway.HistoryLostError:
-        pytest.fail("all followers read all anew")
+        pytest.fail("every follower needs a full read")
 
 
 @in_memory
-async def test_follower_that_comes_back_to_a_source_need_not_read_all_anew():
-    """It was told under the present number; another object for the address forgot."""
+async def test_follower_that_returns_to_a_source_needs_no_full_read():
+    """It knows the current number of misses; a new ``PeerSource`` had forgotten it."""
     pair = await test_replication.Pair().start(test_replication.large())
     pair.source.adopt_changes(gateway.Reading([], 5))
     missed = gateway.Record(test_replication.KEY, test_replication.large(2), 4)
--- a/boragegw/platform/tests/test_sources.py
+++ b/boragegw/platform/tests/test_sources.py
@@ -1,4 +1,4 @@
-"""Where the gateways take what is published from, when sources fail or are slow."""
+"""Choice of the source of published records when sources fail or are slow."""
 
 import asyncio
 
@@ -12,11 +12,11 @@
 in_memory = standins.in_memory
 
 PAGE_DELAY = 0.25
-WRONG = "/none/"
+UNKNOWN_PATH = "/none/"
 
 
 class SlowStore(_wire_store.WireStore):
-    """A store that takes ``delay`` seconds for a call; fails each ``failing``-th."""
+    """A store that delays calls by ``delay`` seconds and fails each ``failing``-th."""
 
     delay = 0.0
     failing = 0
@@ -29,7 +29,7 @@
         return await super()._handle(request)
 
 
-async def world(store=None, page=500):
+async def start_store(store=None, page=500):
     installation = standins.WireWorld()
     if store is not None:
         installation.store = store
@@ -38,17 +38,17 @@
     return installation
 
 
-def read_in_pages(record_revision, position, value=b"x" * 100):
-    """Return a full reading of which a later page shows a later change."""
+def paged_read(record_revision, position, value=b"x" * 100):
+    """Return a full read with a record that is newer than its position."""
     record = gateway.Record(test_replication.KEY, value, record_revision)
     return gateway.Reading([record], position)
 
 
 @in_memory
-async def test_follower_of_a_source_read_in_pages_does_not_ask_without_end():
-    """Pages are no snapshot: a record may be later than the reading's position."""
+async def test_follower_of_a_paged_source_does_not_poll_in_a_loop():
+    """Pages are no snapshot: a record may be newer than the position of the read."""
     pair = await test_replication.Pair().start(b"first")
-    pair.source.adopt_snapshot(read_in_pages(9, 8))
+    pair.source.adopt_snapshot(paged_read(9, 8))
     end = pair.loop.time() + 1.0
     calls = 0
     while pair.loop.time() < end:
@@ -58,19 +58,19 @@
 
 
 @in_memory
-async def test_large_record_later_than_the_reading_does_not_lose_the_history():
+async def test_large_record_later_than_the_read_does_not_lose_the_history():
     pair = await test_replication.Pair().start(test_replication.large())
     later = test_replication.large() + b"x"
-    pair.source.adopt_snapshot(read_in_pages(9, 8, later))
+    pair.source.adopt_snapshot(paged_read(9, 8, later))
     await pair.follow()
-    await pair.follow()  # raises HistoryLostError: a full reading each time
+    await pair.follow()  # must not raise HistoryLostError, which costs a full read
 
 
 @in_memory
-async def test_processes_are_not_behind_for_what_a_reading_in_pages_showed():
-    """The root's reading shows a change between two pages; then the store is away."""
+async def test_paged_read_does_not_make_processes_outdated():
+    """The root reads a change between two pages; then the store becomes unreachable."""
     store = SlowStore(("store", 1))
-    installation = await world(store)
+    installation = await start_store(store)
     installation.publish([standins.WireWorld.route()])
     await installation.add_backend("i-0")
     for number in range(3):
@@ -92,34 +92,37 @@
     await asyncio.sleep(0.1)
     store.hang = True
     await asyncio.sleep(0.6)
-    before = {n: p.board.counters["store.peer_reads"] for n, p in _all(installation)}
+    before = {
+        n: p.board.counters["store.peer_reads"] for n, p in _processes(installation)
+    }
     state = {
-        n: (p.catalogue.revision, p.catalogue.position) for n, p in _all(installation)
+        n: (p.catalogue.revision, p.catalogue.position)
+        for n, p in _processes(installation)
     }
     await asyncio.sleep(0.3)
     calls = {
         n: p.board.counters["store.peer_reads"] - before[n]
-        for n, p in _all(installation)
+        for n, p in _processes(installation)
     }
     assert max(calls.values()) < 50, (calls, state)
 
 
-def _all(installation):
+def _processes(installation):
     return list(installation.processes.items())
 
 
 @in_memory
-async def test_full_answer_is_prepared_anew_when_a_reading_shows_what_was_missed():
-    """Answers are kept by position, and such a reading leaves the position as it is."""
+async def test_full_response_is_rebuilt_when_a_read_shows_missed_changes():
+    """Responses are cached by position, which such a read does not change."""
     pair = await test_replication.Pair().start(b"first")
-    reading = gateway.Reading(
+    read_result = gateway.Reading(
         [
             gateway.Record(test_replication.KEY, b"first", 1),
             gateway.Record("gone", b"x", 2),
         ],
         5,
     )
-    pair.source.adopt_snapshot(reading)
+    pair.source.adopt_snapshot(read_result)
     await pair.client.read_all()
     missed = gateway.Reading([gateway.Record(test_replication.KEY, b"other", 4)], 5)
     pair.source.adopt_snapshot(missed)
@@ -128,7 +131,7 @@
 
 
 @in_memory
-async def test_missed_change_sends_followers_to_read_anew_also_if_asked_before():
+async def test_missed_change_makes_followers_read_all_despite_a_kept_response():
     pair = await test_replication.Pair().start(b"first")
     pair.source.adopt_changes(gateway.Reading([], 5))
     await pair.client.watch(3, 0.0)
@@ -139,8 +142,8 @@
 
 
 @in_memory
-async def test_missed_change_reaches_followers_that_share_the_position():
-    """They are at the position of the reading, and not before it."""
+async def test_missed_change_reaches_followers_at_the_same_position():
+    """The followers are at the position of the read, not before it."""
     pair = await test_replication.Pair().start(b"first")
     pair.source.adopt_changes(gateway.Reading([], 5))
     await pair.follow()
@@ -155,31 +158,31 @@
 
 
 @in_memory
-async def test_process_whose_source_broke_off_denies_wrong_requests_again_soon():
-    """A failure counts until the next watch has ended, 20 s without a change."""
+async def test_process_returns_404_again_soon_after_its_source_failed():
+    """The failure was counted until the next watch ended, 20 s without a change."""
     installation = await standins.WireWorld().start(gateways=3)
     await asyncio.sleep(60.0)
-    root = next(n for n, p in _all(installation) if p.own.watches_store)
-    name = next(n for n, p in _all(installation) if n != root)
-    assert (await installation.call(WRONG, to=name, host="none")).status == 404
+    root = next(n for n, p in _processes(installation) if p.own.watches_store)
+    name = next(n for n, p in _processes(installation) if n != root)
+    assert (await installation.call(UNKNOWN_PATH, to=name, host="none")).status == 404
     for one, other in installation.network.connections:
         if one.local[0] == name and other.local[0] == root and not one.is_lost():
             one.abort()
     await asyncio.sleep(3.0)
-    reply = await installation.call(WRONG, to=name, host="none")
+    reply = await installation.call(UNKNOWN_PATH, to=name, host="none")
     assert installation.processes[name].follower.lag == 0
     assert reply.status == 404
 
 
 @in_memory
-async def test_another_process_soon_watches_the_store_for_all_after_one_is_gone():
-    """A watch that began before goes on for 20 s; only then does it say what it is."""
+async def test_single_other_process_soon_watches_the_store_after_a_loss():
+    """An earlier watch lasts 20 s; the role of its source is known only at its end."""
     installation = await standins.WireWorld().start(gateways=30)
     await asyncio.sleep(60.0)
-    root = next(n for n, p in _all(installation) if p.own.watches_store)
+    root = next(n for n, p in _processes(installation) if p.own.watches_store)
     for name in installation.processes:
         if name != root:
-            _break_off(installation, name, root)
+            _abort_connections(installation, name, root)
             installation.network.cut(name, root)
     await asyncio.sleep(6.0)
     watching = [
@@ -191,35 +194,35 @@
 
 
 @in_memory
-async def test_one_failure_of_a_peer_and_one_of_the_store_do_not_lose_the_store():
+async def test_single_failures_of_a_peer_and_the_store_are_no_store_outage():
     installation = await standins.WireWorld().start(gateways=3)
     await asyncio.sleep(60.0)
-    root = next(n for n, p in _all(installation) if p.own.watches_store)
-    name = next(n for n, p in _all(installation) if n != root)
+    root = next(n for n, p in _processes(installation) if p.own.watches_store)
+    name = next(n for n, p in _processes(installation) if n != root)
     process = installation.processes[name]
     events = []
     logged = process.follower.log.event
     process.follower.log.event = lambda *a, **k: (events.append(a[0]), logged(*a, **k))
-    _break_off(installation, name, root)
-    await asyncio.sleep(0.5)  # avoids its source and watches the store
-    _break_off(installation, name, "store")
+    _abort_connections(installation, name, root)
+    await asyncio.sleep(0.5)  # the process leaves its source and watches the store
+    _abort_connections(installation, name, "store")
     await asyncio.sleep(3.0)
     assert events.count("peer-source-failed") == 1
     assert "store-lost" not in events, events
 
 
-def _break_off(installation, one, other):
+def _abort_connections(installation, one, other):
     for near, far in installation.network.connections:
         if (near.local[0], far.local[0]) == (one, other) and not near.is_lost():
             near.abort()
 
 
 @in_memory
-async def test_reading_in_pages_survives_a_store_that_fails_now_and_then():
-    """One failed page throws all the others away: a larger reading never ends."""
+async def test_paged_read_survives_sporadic_store_failures():
+    """If one failed page discards the others, a large read never completes."""
     store = SlowStore(("store", 1))
     store.failing = 10
-    installation = await world(store, page=50)
+    installation = await start_store(store, page=50)
     installation.publish([standins.WireWorld.route()])
     backend = await installation.add_backend("i-0")
     for number in range(600):
@@ -229,11 +232,11 @@
     assert process.board.ready, store.calls
 
 
-async def trickling(monkeypatch):
-    """Return three gateways of which the first watches the store and trickles."""
+async def start_with_slow_source(monkeypatch):
+    """Start three gateways; the first watches the store and has a very slow link."""
     monkeypatch.setattr(_links, "SEGMENT", 256)
     monkeypatch.setattr(_links, "WINDOW", 1024)
-    installation = await world()
+    installation = await start_store()
     installation.publish([standins.WireWorld.route()])
     await installation.add_backend("i-0")
     for number in range(3):
@@ -247,18 +250,18 @@
 
 
 @in_memory
-async def test_source_that_trickles_is_left_for_one_that_has_all(monkeypatch):
-    installation = await trickling(monkeypatch)
+async def test_very_slow_source_is_replaced_by_a_complete_one(monkeypatch):
+    installation = await start_with_slow_source(monkeypatch)
     installation.publish(standins.many_routes(1300))
     await asyncio.sleep(20.0)
-    assert test_large_configuration.late(installation) == []
+    assert test_large_configuration.outdated_gateways(installation) == []
 
 
 @in_memory
-async def test_first_requests_wait_while_the_first_reading_arrives_in_pages():
+async def test_first_requests_wait_while_the_first_read_arrives_in_pages():
     store = SlowStore(("store", 1))
     store.delay = PAGE_DELAY
-    installation = await world(store, page=50)
+    installation = await start_store(store, page=50)
     for number in range(300):
         store.put(f"a/{number}", b"{}")
     installation.publish([standins.WireWorld.route()])
@@ -270,9 +273,9 @@
 
 
 @in_memory
-async def test_request_that_waits_for_the_first_reading_is_answered_in_time():
-    """Its own way is free; only the store's link is slow."""
-    installation = await world()
+async def test_request_that_waits_for_the_first_read_meets_its_deadline():
+    """Only the link of the store is slow, not that of the process."""
+    installation = await start_store()
     installation.network.set_link("store", 2.0)
     installation.publish(standins.many_routes(1300))
     await installation.add_gateway("gw-0")
@@ -283,42 +286,42 @@
 
 
 @in_memory
-async def test_peers_of_another_version_do_not_make_a_process_ask_the_store_often():
-    """As while a new version is rolled out: the former has no ``/v1/replica``."""
+async def test_peers_of_another_version_cause_few_store_calls():
+    """During a rolling upgrade, the previous version lacks ``/v1/replica``."""
     installation = await standins.WireWorld().start(gateways=12)
     await asyncio.sleep(20.0)
-    root = next(n for n, p in _all(installation) if p.own.watches_store)
+    root = next(n for n, p in _processes(installation) if p.own.watches_store)
 
-    async def former(request):
+    async def endpoint_without_replica(request):
         return gateway.Reply(404)
 
     installation.processes[root].own.replica_format = 0
     await asyncio.sleep(5.0)
-    endpoint = gateway.Endpoint(former, now=installation.loop.time)
+    endpoint = gateway.Endpoint(endpoint_without_replica, now=installation.loop.time)
     await endpoint.listen((root, standins.PEER_PORT))
-    for name, _ in _all(installation):
-        _break_off(installation, name, root)
+    for name, _ in _processes(installation):
+        _abort_connections(installation, name, root)
     await asyncio.sleep(5.0)
     calls = installation.store.calls
     await asyncio.sleep(30.0)
     assert installation.store.calls - calls <= 30
     others = [name for name in installation.processes if name != root]
-    replies = [await installation.call(WRONG, to=n, host="none") for n in others]
+    replies = [await installation.call(UNKNOWN_PATH, to=n, host="none") for n in others]
     assert [reply.status for reply in replies] == [404] * 11
 
 
 @in_memory
-async def test_store_that_was_restored_is_not_read_without_end():
-    """If it answers 410 to a position that it has not reached yet."""
+async def test_restored_store_is_not_read_in_a_loop():
+    """The restored store returns 410 for a position that it has not reached yet."""
 
-    class Restored(_wire_store.WireStore):
+    class RestoredStore(_wire_store.WireStore):
         async def _watch(self, query):
             if int(query["after"]) > self.revision:
                 return gateway.Reply(410)
             return await super()._watch(query)
 
-    store = Restored(("store", 1))
-    installation = await world(store)
+    store = RestoredStore(("store", 1))
+    installation = await start_store(store)
     installation.publish([standins.WireWorld.route()])
     for number in range(30):
         store.put("op/other", {"x": number})
@@ -334,15 +337,15 @@
     assert store.calls - calls < 100
 
 
-def test_prepared_answers_are_kept_while_as_many_ask_as_are_kept(monkeypatch):
-    made = []
+def test_prepared_responses_are_kept_up_to_their_limit(monkeypatch):
+    prepared = []
     source = test_catalogue.catalogue()
     source.adopt_snapshot(gateway.Reading([gateway.Record("a", b"{}", 1)], 1))
     source.adopt_changes(gateway.Reading([], 100))
     server = gateway.ReplicaServer(source, now=lambda: 0.0)
     make = server._make
-    monkeypatch.setattr(server, "_make", lambda *a: made.append(a) or make(*a))
+    monkeypatch.setattr(server, "_make", lambda *a: prepared.append(a) or make(*a))
     for _ in range(3):
         for after in range(1, 17):
             server._prepare(after)
-    assert len(made) == 16
+    assert len(prepared) == 16
--- a/boragegw/platform/tests/test_stalled_answers.py
+++ b/boragegw/platform/tests/test_stalled_responses.py
@@ -1,4 +1,4 @@
-"""Answers that stop arriving after a part of them has been passed on."""
+"""Responses that stall after a part of them has been forwarded."""
 
 import asyncio
 
@@ -10,17 +10,17 @@
 
 in_memory = standins.in_memory
 
-FRONT = ("gw-0", 8548)
-SIZE = 1_000_000
-#: Megabits a second at which a segment of a link takes longer than any test.
-STANDSTILL = 0.00001
+FRONT_ADDRESS = ("gw-0", 8548)
+BODY_BYTES = 1_000_000
+#: Link rate in Mbit/s at which one segment takes longer than any test.
+STALLED_MBPS = 0.00001
 
 
 async def start(mbps=10.0, timeout_s=60.0, kind="download"):
-    """Start an installation whose backend servers send large answers."""
+    """Start an installation whose backend servers send large responses."""
     installation = await standins.WireWorld().start(kind=kind, timeout_s=timeout_s)
     for backend in installation.backends.values():
-        backend.body = b"x" * SIZE
+        backend.body = b"x" * BODY_BYTES
         installation.network.set_link(backend.address[0], mbps)
     return installation
 
@@ -32,62 +32,64 @@
 
 def slow_down(installation):
     for backend in installation.backends.values():
-        installation.network.outgoing(backend.address[0]).rate = STANDSTILL
+        installation.network.outgoing(backend.address[0]).rate = STALLED_MBPS
 
 
-def leave(installation):
-    """Let all callers close their connections."""
+def disconnect_callers(installation):
+    """Close the connections of all callers."""
     for near, _ in installation.network.connections:
-        if near.remote == FRONT and not near.is_lost():
+        if near.remote == FRONT_ADDRESS and not near.is_lost():
             near.abort()
 
 
-def held(installation):
-    """Return the connections to backend servers that a request holds."""
+def connections_in_use(installation):
+    """Return the number of connections to backend servers held by requests."""
     pools = installation.processes["gw-0"].asker._pools.values()
     return sum(pool._open - len(pool._idle) for pool in pools)
 
 
-def call(installation, deadline_ms):
+def start_call(installation, deadline_ms):
     return asyncio.create_task(installation.call("/d", x_deadline_ms=str(deadline_ms)))
 
 
 @pytest.mark.parametrize("kind", ["download", "safe", "unsafe"])
-@pytest.mark.parametrize("stall", [silence, slow_down])
+@pytest.mark.parametrize("stall_backends", [silence, slow_down])
 @in_memory
-async def test_caller_that_leaves_a_stalled_answer_frees_its_connection(stall, kind):
-    """Only more bytes woke the request: it was still there 600 s later."""
+async def test_disconnect_during_a_stalled_response_frees_its_connection(
+    stall_backends, kind
+):
+    """Only further bytes woke the request: 600 s later it still held the connection."""
     installation = await start(kind=kind)
-    calling = call(installation, 60_000)
+    calling = start_call(installation, 60_000)
     await asyncio.sleep(0.3)
-    stall(installation)
+    stall_backends(installation)
     await asyncio.sleep(0.5)
-    assert held(installation) == 1
-    leave(installation)
+    assert connections_in_use(installation) == 1
+    disconnect_callers(installation)
     await calling
     await asyncio.sleep(0.1)
-    assert held(installation) == 0
+    assert connections_in_use(installation) == 0
 
 
-@pytest.mark.parametrize("stall", [silence, slow_down])
+@pytest.mark.parametrize("stall_backends", [silence, slow_down])
 @in_memory
-async def test_caller_that_stays_gets_the_end_of_a_stalled_answer(stall):
-    """120 s after it had stalled its caller had neither the rest nor an end."""
+async def test_connected_caller_gets_an_end_of_a_stalled_response(stall_backends):
+    """120 s after the stall its caller had neither the rest nor an error."""
     installation = await start()
-    calling = call(installation, 3_000)
+    calling = start_call(installation, 3_000)
     await asyncio.sleep(0.3)
-    stall(installation)
+    stall_backends(installation)
     reply = await asyncio.wait_for(calling, 120.0)
     assert reply.status == 0
-    # A pause before the deadline is no reason to end an answer.
+    # A pause before the deadline must not end the response.
     assert 2.9 <= reply.seconds <= 3.0 + _delivery.STALL
-    assert held(installation) == 0
+    assert connections_in_use(installation) == 0
 
 
 @in_memory
-async def test_answer_that_stalls_after_its_deadline_is_ended():
+async def test_response_that_stalls_after_its_deadline_is_ended():
     installation = await start(mbps=1.0)
-    calling = call(installation, 2_000)
+    calling = start_call(installation, 2_000)
     await asyncio.sleep(4.0)
     silence(installation)
     reply = await asyncio.wait_for(calling, 120.0)
@@ -99,17 +101,17 @@
     ("mbps", "deadline_ms"), [(1.0, 30_000), (1.0, 3_000), (0.1, 30_000)]
 )
 @in_memory
-async def test_slow_answer_that_moves_arrives_whole(mbps, deadline_ms):
-    """Also where its deadline passes meanwhile."""
+async def test_slow_response_that_progresses_is_completed(mbps, deadline_ms):
+    """Even if its deadline passes meanwhile."""
     installation = await start(mbps)
-    reply = await call(installation, deadline_ms)
-    assert (reply.status, len(reply.body)) == (200, SIZE)
+    reply = await start_call(installation, deadline_ms)
+    assert (reply.status, len(reply.body)) == (200, BODY_BYTES)
 
 
-class Writer:
-    """A caller's end.
+class CallerWriter:
+    """Writer of a connection to a caller.
 
-    :param reads: whether it ever reads what is written.
+    :param reads: whether the caller reads at once; otherwise writes block for 10 s.
     """
 
     def __init__(self, reads=True):
@@ -124,19 +126,19 @@
             await asyncio.sleep(10.0)
 
 
-async def delivered(pauses, give_up_after, writer=None):
-    """Pass on an answer of parts with pauses in seconds; return what was written."""
+async def deliver_parts(pauses, deadline_seconds, writer=None):
+    """Deliver a response in parts after pauses in seconds; return what was written."""
     loop = asyncio.get_running_loop()
     answer = gateway.Answer(200, [])
     request = gateway.Request(left=loop.create_future())
-    writer = writer or Writer()
+    writer = writer or CallerWriter()
     delivery = asyncio.create_task(
         _delivery.deliver(
             request,
             answer,
             writer,
             closing=False,
-            give_up_at=loop.time() + give_up_after,
+            give_up_at=loop.time() + deadline_seconds,
         )
     )
     for pause in pauses:
@@ -150,27 +152,31 @@
 
 
 @in_memory
-async def test_pause_before_the_deadline_does_not_end_an_answer():
-    written = await delivered([0.1, 4.0, 0.5], give_up_after=5.0)
+async def test_pause_before_the_deadline_does_not_end_a_response():
+    written = await deliver_parts([0.1, 4.0, 0.5], deadline_seconds=5.0)
     assert written.count(b"y") == 3
 
 
 @in_memory
-async def test_time_that_a_caller_takes_to_read_is_no_stall_of_the_server():
+async def test_slow_reader_is_not_counted_as_a_stall_of_the_server():
     pauses = [0.1, 10.5]
-    written = await delivered(pauses, give_up_after=1.0, writer=Writer(reads=False))
+    written = await deliver_parts(
+        pauses, deadline_seconds=1.0, writer=CallerWriter(reads=False)
+    )
     assert written.count(b"y") == 2
 
 
-@pytest.mark.parametrize("leaving", ["eof_received", "connection_lost"])
+@pytest.mark.parametrize("close_event", ["eof_received", "connection_lost"])
 @in_memory
-async def test_caller_that_reads_no_more_and_leaves_is_noticed(leaving):
-    """Writing to it had to wait until its connection was lost."""
+async def test_disconnect_of_a_caller_that_does_not_read_is_detected(close_event):
+    """A blocked write was not woken until the connection was lost."""
     connection, _ = test_front.connect(test_front.Process())
     connection.pause_writing()
     writing = asyncio.create_task(connection.writable())
     await asyncio.sleep(0.1)
     assert not writing.done()
-    getattr(connection, leaving)(*([None] if leaving == "connection_lost" else []))
+    getattr(connection, close_event)(
+        *([None] if close_event == "connection_lost" else [])
+    )
     await asyncio.sleep(0.0)
     await asyncio.wait_for(writing, 1.0)
--- a/boragegw/platform/tests/test_time_limits.py
+++ b/boragegw/platform/tests/test_time_limits.py
@@ -1,4 +1,4 @@
-"""Time limits that run from a start while what they bound grows with its bytes."""
+"""Time limits on transfers whose duration grows with their size."""
 
 import asyncio
 
@@ -6,49 +6,49 @@
 from boragegw.gateway.tests import test_front
 
 in_memory = standins.in_memory
-FRONT = ("gw-0", 8548)
-#: Bytes of an answer that is not passed on before it is whole.
-LARGE = 90_000
+FRONT_ADDRESS = ("gw-0", 8548)
+#: Size of a response that is not forwarded before it is complete.
+LARGE_BODY_BYTES = 90_000
 
 
 async def upload(installation, body, seconds, deadline_ms):
-    """Send a request whose body takes ``seconds``; return the answer's status."""
+    """Send a request whose body takes ``seconds``; return the response status."""
     client = gateway.Connection(installation.loop.time)
-    await installation.loop.create_connection(lambda: client, *FRONT)
+    await installation.loop.create_connection(lambda: client, *FRONT_ADDRESS)
     headers = {"x-request-id": "slow", "x-deadline-ms": str(deadline_ms)}
-    whole = standins.request_bytes("/up", "POST", body, headers)
-    start = len(whole) - len(body)
-    waiting = client.start(whole[:start], lambda _: True)
+    raw_request = standins.request_bytes("/up", "POST", body, headers)
+    start = len(raw_request) - len(body)
+    waiting = client.start(raw_request[:start], lambda _: True)
     step = len(body) // 10
-    for place in range(start, len(whole), step):
+    for offset in range(start, len(raw_request), step):
         await asyncio.sleep(seconds / 10)
-        client._transport.write(whole[place : place + step])
+        client._transport.write(raw_request[offset : offset + step])
     try:
         return (await waiting).status
     except gateway.ExchangeError:
         return 0
 
 
-async def downloads(mbps):
-    """Start an installation whose backend servers send large answers slowly."""
+async def start_slow_downloads(mbps):
+    """Start an installation whose backend servers send large responses slowly."""
     installation = await standins.WireWorld().start(kind="download", timeout_s=2.0)
     for backend in installation.backends.values():
-        backend.body = b"x" * LARGE
+        backend.body = b"x" * LARGE_BODY_BYTES
         installation.network.set_link(backend.address[0], mbps)
     return installation
 
 
 @in_memory
-async def test_slow_connects_do_not_show_that_a_request_crashes_servers():
-    """Resets while connections take 0.3 s had a request refused for a minute."""
+async def test_resets_after_slow_connects_do_not_quarantine_a_request():
+    """Resets while connects took 0.3 s quarantined a request for a minute."""
     installation = await standins.WireWorld().start(kind="unsafe")
     await asyncio.gather(*(installation.call(f"/{n}", "POST") for n in range(30)))
-    usual = installation.network.connect
+    connect_at_once = installation.network.connect
 
     async def connect(factory, source, target):
         if target[0].startswith("host-"):
             await asyncio.sleep(0.3)
-        return await usual(factory, source, target)
+        return await connect_at_once(factory, source, target)
 
     installation.network.connect = connect
     for backend in installation.backends.values():
@@ -56,7 +56,7 @@
     statuses = [(await installation.call("/p", "POST", b"1")).status for _ in range(3)]
     assert statuses == [502] * 3
     await asyncio.sleep(0.5)
-    installation.network.connect = usual
+    installation.network.connect = connect_at_once
     for backend in installation.backends.values():
         backend.faults.reset_after_run = False
     await asyncio.sleep(1.0)
@@ -64,8 +64,8 @@
 
 
 @in_memory
-async def test_slow_upload_is_not_hedged_the_moment_it_is_whole():
-    """A body that took 0.6 s to arrive went to two backend servers at once."""
+async def test_slow_upload_is_not_hedged_as_soon_as_it_is_complete():
+    """A body that took 0.6 s to arrive was sent to two backend servers at once."""
     installation = await standins.WireWorld().start()
     assert await upload(installation, b"x" * 60_000, 0.6, 10_000) == 200
     assert len(installation.runs("/up")) == 1
@@ -83,30 +83,30 @@
 
 
 @in_memory
-async def test_answer_that_is_arriving_is_not_asked_for_twice():
-    """An answer that takes 0.36 s was hedged after 0.22 s, while it was arriving."""
-    installation = await downloads(mbps=2.0)
+async def test_response_that_is_arriving_is_not_hedged():
+    """A response that takes 0.36 s was hedged after 0.22 s, while it was arriving."""
+    installation = await start_slow_downloads(mbps=2.0)
     reply = await installation.call("/d", x_deadline_ms="10000")
-    assert (reply.status, len(reply.body)) == (200, LARGE)
+    assert (reply.status, len(reply.body)) == (200, LARGE_BODY_BYTES)
     assert len(installation.runs("/d")) == 1
 
 
 @in_memory
-async def test_answer_that_stops_arriving_is_asked_for_elsewhere():
-    installation = await downloads(mbps=2.0)
+async def test_response_that_stalls_is_hedged():
+    installation = await start_slow_downloads(mbps=2.0)
     call = asyncio.create_task(installation.call("/d", x_deadline_ms="10000"))
     await asyncio.sleep(0.2)
     (stalled,) = [b for b in installation.backends.values() if b.runs]
     installation.network.silence(stalled.address[0])
     reply = await call
-    assert (reply.status, len(reply.body)) == (200, LARGE)
+    assert (reply.status, len(reply.body)) == (200, LARGE_BODY_BYTES)
     assert reply.seconds < 1.0
     assert len(installation.runs("/d")) == 2
 
 
 @in_memory
-async def test_upload_that_took_long_may_still_wait_for_room():
-    """Its wait had run from its first byte: it was refused at once."""
+async def test_slow_upload_may_still_be_queued():
+    """Its queue time ran from its first byte, so it was refused at once."""
     installation = await standins.WireWorld().start(kind="unsafe")
     for backend in installation.backends.values():
         backend.load = "6,0,6,100"
@@ -119,25 +119,25 @@
 
 
 @in_memory
-async def test_body_without_room_is_refused_before_it_is_sent():
-    """It is taken in part and dropped when the memory is full."""
+async def test_body_without_memory_is_refused_before_it_is_sent():
+    """Otherwise it is received in part and dropped when the body memory is full."""
     process = test_front.Process()
     process.body_memory = gateway.BodyMemory(limit=100)
     head = test_front.HEAD + b"content-length: 80\r\n\r\n"
-    first, kept = test_front.connect(process)
-    second, refused = test_front.connect(process)
-    first.data_received(head + b"z" * 10)
-    second.data_received(head)
+    first_connection, first_transport = test_front.connect(process)
+    second_connection, second_transport = test_front.connect(process)
+    first_connection.data_received(head + b"z" * 10)
+    second_connection.data_received(head)
     await asyncio.sleep(0.01)
-    assert test_front.statuses(refused) == [503]
-    first.data_received(b"z" * 70)
+    assert test_front.statuses(second_transport) == [503]
+    first_connection.data_received(b"z" * 70)
     await asyncio.sleep(0.01)
-    assert test_front.statuses(kept) == [200]
+    assert test_front.statuses(first_transport) == [200]
 
 
 @in_memory
-async def test_caller_that_leaves_during_a_stalled_answer_is_noticed():
-    """Only more bytes wake the request: it holds its connection to the server."""
+async def test_disconnect_during_a_stalled_response_is_detected():
+    """Only further bytes woke the request, which held its connection to the server."""
     installation = await standins.WireWorld().start(kind="download")
     for backend in installation.backends.values():
         backend.body = b"x" * 1_000_000
@@ -151,7 +151,7 @@
             far.other = None
     await asyncio.sleep(0.5)
     for near, _ in installation.network.connections:
-        if near.remote == FRONT:
+        if near.remote == FRONT_ADDRESS:
             near.abort()
     await call
     await asyncio.sleep(20.0)
