--- a/boragegw/platform/tests/test_decoder.py
+++ b/boragegw/platform/tests/test_decoder.py
@@ -1,4 +1,4 @@
-"""What a published document that cannot be read in part still tells."""
+"""Decoding of records that are invalid in part."""
 
 import asyncio
 import copy
@@ -47,27 +47,27 @@
         "idle_timeout_s": 9.0,
     },
 }
-JUNK = (None, True, -1, 1e9, "", "x" * 300, [], [1], {}, {"a": [{}]})
+INVALID_VALUES = (None, True, -1, 1e9, "", "x" * 300, [], [1], {}, {"a": [{}]})
 
 
-class Notes:
-    """Keeps events in place of a log."""
+class EventRecorder:
+    """Event log that records the kinds of its events."""
 
     def __init__(self):
         self.kinds = []
 
     def event(self, kind, **fields):
-        """Take one event."""
+        """Record the kind of an event."""
         self.kinds.append(kind)
 
 
 def decode(document):
     """Return the configuration in ``document``, or ``None``, and the events' kinds."""
-    notes = Notes()
-    decoder = _decoder.RecordDecoder(notes)
+    recorder = EventRecorder()
+    decoder = _decoder.RecordDecoder(recorder)
     value = json.dumps(document).encode()
     record = gateway.Record("op/config", value, 1)
-    return decoder.configuration(record), notes.kinds
+    return decoder.configuration(record), recorder.kinds
 
 
 def route_of(configuration, number):
@@ -75,10 +75,10 @@
 
 
 @pytest.mark.parametrize("kind", ["upload", "stream", "", "SAFE"])
-def test_requests_of_an_unknown_kind_run_once_at_most(kind):
-    """A new customer's routes have a kind that no process has heard of. The whole
-    configuration was thrown away for it, and with it the directory: nobody was
-    served. What is not known to be idempotent is carried as if it were not.
+def test_unknown_route_type_is_treated_as_non_idempotent(kind):
+    """A route has a type that the processes do not know. The whole configuration was
+    rejected, and with it the directory, so that no caller was served. Requests that are
+    not known to be idempotent are handled as non-idempotent.
     """
     document = copy.deepcopy(DOCUMENT)
     document["routes"][0]["route_type"] = kind
@@ -88,7 +88,7 @@
     assert ("unknown-kind" in events) == (kind != "upload")
 
 
-places = strategies.one_of(
+field_locations = strategies.one_of(
     strategies.tuples(
         strategies.just("routes"),
         strategies.integers(0, 3),
@@ -105,42 +105,44 @@
         strategies.sampled_from(sorted(DOCUMENT["limits"])),
     ),
 )
-changes = strategies.one_of(
+field_changes = strategies.one_of(
     strategies.tuples(strategies.just("drop"), strategies.none()),
-    strategies.tuples(strategies.just("replace"), strategies.sampled_from(JUNK)),
-    strategies.tuples(strategies.just("add"), strategies.sampled_from(JUNK)),
+    strategies.tuples(
+        strategies.just("replace"), strategies.sampled_from(INVALID_VALUES)
+    ),
+    strategies.tuples(strategies.just("add"), strategies.sampled_from(INVALID_VALUES)),
     strategies.tuples(strategies.just("nest"), strategies.none()),
 )
 
 
-def mutate(document, place, change):
+def mutate(document, location, change):
     """Change one field of ``document`` in place."""
-    section, index, field = place
+    section, index, field = location
     part = document[section] if index is None else document[section][index]
-    how, value = change
-    if how == "drop":
+    operation, value = change
+    if operation == "drop":
         del part[field]
-    elif how == "replace":
+    elif operation == "replace":
         part[field] = value
-    elif how == "add":
+    elif operation == "add":
         part[f"new_{field}"] = value
     else:
         part[field] = {"value": part[field]}
 
 
 @hypothesis.settings(max_examples=400, derandomize=True, deadline=None)
-@hypothesis.given(places, changes)
-def test_one_changed_field_costs_its_own_part_at_most(place, change):
+@hypothesis.given(field_locations, field_changes)
+def test_changed_field_affects_only_its_own_part(location, change):
     """A newer writer drops, retypes, adds or nests one field. All other routes and
-    services stay as they are, and where a route is lost, requests for it are not
-    carried to another service.
+    services must stay as they are, and requests of a lost route must not be sent to
+    another service.
     """
     whole, _ = decode(DOCUMENT)
     document = copy.deepcopy(DOCUMENT)
-    mutate(document, place, change)
+    mutate(document, location, change)
     configuration, events = decode(document)
     assert configuration.version == 7
-    section, index, _ = place
+    section, index, _ = location
     for number in range(4):
         if (section, index) != ("routes", number):
             assert route_of(configuration, number) == route_of(whole, number)
@@ -153,11 +155,12 @@
 
 @hypothesis.settings(max_examples=200, derandomize=True, deadline=None)
 @hypothesis.given(
-    strategies.sampled_from(("routes", "services")), strategies.sampled_from(JUNK)
+    strategies.sampled_from(("routes", "services")),
+    strategies.sampled_from(INVALID_VALUES),
 )
-def test_part_that_is_no_object_costs_only_itself(section, junk):
+def test_part_that_is_no_object_affects_only_itself(section, invalid_value):
     document = copy.deepcopy(DOCUMENT)
-    document[section].append(junk)
+    document[section].append(invalid_value)
     configuration, _ = decode(document)
     whole, _ = decode(DOCUMENT)
     assert configuration.services == whole.services
@@ -167,20 +170,20 @@
 
 
 @pytest.mark.parametrize(
-    ("section", "junk"),
-    list(itertools.product(("version", "routes", "services"), JUNK[:6])),
+    ("section", "invalid_value"),
+    list(itertools.product(("version", "routes", "services"), INVALID_VALUES[:6])),
 )
-def test_document_without_a_version_or_parts_changes_nothing(section, junk):
+def test_document_without_a_version_or_parts_is_rejected(section, invalid_value):
     document = copy.deepcopy(DOCUMENT)
-    document[section] = junk
+    document[section] = invalid_value
     configuration, events = decode(document)
     assert configuration is None
     assert events == ["invalid-configuration"]
 
 
-def test_unreadable_warm_up_rate_permits_little():
-    """A warm-up rate of another type must not count as one that is missing: a missing
-    one means that cold servers bear any load, and they would be crashed by it.
+def test_invalid_warm_up_rate_is_replaced_by_a_low_one():
+    """A warm-up rate of a wrong type must not be treated as missing: without a rate,
+    cold servers would get full load and crash.
     """
     document = copy.deepcopy(DOCUMENT)
     document["services"][0]["warmup_per_s"] = "5"
@@ -189,9 +192,9 @@
 
 
 @in_memory
-async def test_route_without_a_readable_service_refuses_as_not_run():
-    """The route for /a/ has lost its service. Its requests must not match the route
-    for / instead and run at that one's service.
+async def test_route_without_a_valid_service_returns_503_and_retry_after():
+    """The service of the route /a/ is invalid. Its requests must not match the route /
+    instead and be executed by the service of that route.
     """
     installation = await standins.WireWorld().start()
     routes = [installation.route("/"), installation.route("/a/", service=5)]
@@ -206,12 +209,12 @@
     assert (await installation.call("/x")).status == 200
 
 
-def test_parts_that_can_be_read_are_decoded_in_one_step(monkeypatch):
-    """Field by field, thousands of routes hold up all requests."""
+def test_valid_parts_are_decoded_in_one_step(monkeypatch):
+    """Decoding thousands of routes field by field would block all requests."""
     by_field = []
     monkeypatch.setattr(
         _schemas.LenientDecoder, "_decode_by_field", lambda *part: by_field.append(part)
     )
-    configuration, notes = decode(DOCUMENT)
+    configuration, recorder = decode(DOCUMENT)
     assert len(configuration.routes) == len(DOCUMENT["routes"])
     assert not by_field
--- a/boragegw/platform/tests/test_metrics.py
+++ b/boragegw/platform/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics as a scraper reads them."""
+"""Metrics endpoint as read by a Prometheus scraper."""
 
 import prometheus_client.parser
 import pytest
@@ -8,7 +8,7 @@
 in_memory = standins.in_memory
 
 
-async def scraped(installation, name="gw-0"):
+async def scrape(installation, name="gw-0"):
     reply = await installation.ask((name, 7541), "/v1/metrics")
     assert reply.headers["content-type"].startswith("text/plain; version=0.0.4")
     text = reply.body.decode()
@@ -24,7 +24,7 @@
     installation = await standins.WireWorld().start()
     for number in range(5):
         await installation.call(f"/{number}")
-    metrics = await scraped(installation)
+    metrics = await scrape(installation)
     assert metrics["boragegw_requests_answered_total",] == 5
     assert metrics["boragegw_request_seconds_count",] == 5
     assert metrics["boragegw_request_seconds_bucket", ("le", "+Inf")] == 5
@@ -36,12 +36,12 @@
 
 @in_memory
 async def test_failures_are_counted_by_status():
-    """On call, the first question is which answers the process made up itself."""
+    """Operators must see which error responses the process generated itself."""
     installation = await standins.WireWorld().start(kind="unsafe")
     for backend in installation.backends.values():
         backend.faults.reset_after_run = True
     await installation.call("/pay", "POST", b"1")
-    metrics = await scraped(installation)
+    metrics = await scrape(installation)
     assert metrics["boragegw_requests_failed_total", ("status", "502")] == 1
     assert metrics["boragegw_attempts_failed_total",] == 1
 
--- a/boragegw/platform/tests/test_report_histories.py
+++ b/boragegw/platform/tests/test_report_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of reports, lapses and processes that come and go."""
+"""Random histories of reports, expired entries and process starts and kills."""
 
 import asyncio
 import random
@@ -12,13 +12,13 @@
 
 SERVERS = 3
 STEPS = 25
-#: Most processes at a time.
-PROCESSES = 6
+#: Largest number of processes at a time.
+MAX_PROCESSES = 6
 DATA_CENTRES = ("dc-a", "dc-b")
 
 
-class History:
-    """Servers that report, and a store that takes their reports in any order.
+class RandomHistory:
+    """Random reports of servers that reach the store in any order.
 
     :param installation: an ``Installation`` of the tests of delayed reports.
     """
@@ -45,12 +45,12 @@
         self.written[name].append((sequence, state))
         self.put(name, sequence, state)
 
-    async def delay(self, name):
-        """Let one of the former reports arrive once more."""
+    async def redeliver_old_report(self, name):
+        """Store one of the previous reports once more."""
         if self.written[name]:
             self.put(name, *self.random_state.choice(self.written[name]))
 
-    async def lapse(self, name):
+    async def expire_entry(self, name):
         if self.random_state.random() < 0.5:
             for process in self.world.processes.values():
                 process.catalogue.trouble_at = self.world.loop.time()
@@ -63,25 +63,25 @@
         self.written[name] = []
         await self.report(name)
 
-    async def begin_process(self, name):
-        if len(self.world.processes) < PROCESSES:
+    async def start_process(self, name):
+        if len(self.world.processes) < MAX_PROCESSES:
             self.added += 1
             data_centre = self.random_state.choice(DATA_CENTRES)
             await self.world.add_gateway(f"gw-1{self.added}", data_centre)
 
-    async def end_process(self, name):
+    async def kill_process(self, name):
         names = [name for name in self.world.processes if name != "gw-0"]
         if names:
             await self.installation.kill(self.random_state.choice(names))
 
-    async def play(self):
+    async def run(self):
         steps = (
             *[self.report] * 3,
-            *[self.delay] * 4,
-            *[self.lapse] * 3,
+            *[self.redeliver_old_report] * 4,
+            *[self.expire_entry] * 3,
             self.restart,
-            *[self.begin_process] * 2,
-            self.end_process,
+            *[self.start_process] * 2,
+            self.kill_process,
         )
         for _ in range(STEPS):
             step = self.random_state.choice(steps)
@@ -90,7 +90,7 @@
         await asyncio.sleep(6.0)
 
     def expected(self):
-        """Return the newest report of each server that the store lists."""
+        """Return the newest report of each server that is in the store."""
         return {
             f"servers/{name}": (self.started[name], *max(self.written[name]))
             for name in self.listed
@@ -98,7 +98,7 @@
         }
 
     def known(self, process):
-        """Return the same as a process knows it."""
+        """Return the reports that a process knows of the expected servers."""
         states = {True: "draining", False: "ready"}
         found = {}
         for key, server in process.board.servers.items():
@@ -111,12 +111,12 @@
 @pytest.mark.parametrize("seed", range(4))
 @in_memory
 async def test_all_processes_know_the_newest_report_of_each_server(seed):
-    """Some took an older one for good, by when they had started and whom they asked."""
+    """Depending on their start and source, some processes kept an older report."""
     installation = await test_delayed_reports.Installation.start(3, DATA_CENTRES)
-    history = History(installation, seed)
+    history = RandomHistory(installation, seed)
     for name in history.started:
         await history.report(name)
         await asyncio.sleep(1.0)
-    await history.play()
+    await history.run()
     for name, process in history.world.processes.items():
         assert (name, history.known(process)) == (name, history.expected())
--- a/boragegw/platform/tests/test_settings.py
+++ b/boragegw/platform/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: what is taken, what is refused and how."""
+"""Reading and validation of the platform's settings file."""
 
 import copy
 import json
@@ -27,27 +27,27 @@
 }
 
 
-def write(tmp_path, data):
+def write_settings(tmp_path, data):
     path = tmp_path / "node.json"
     path.write_text(data if isinstance(data, str) else json.dumps(data))
     return path
 
 
-def changed(key, value):
+def settings_with(key, value):
     data = copy.deepcopy(VALID)
     *parents, last = key.split(".")
-    place = data
+    parent_table = data
     for parent in parents:
-        place = place[parent]
+        parent_table = parent_table[parent]
     if value is None:
-        del place[last]
+        del parent_table[last]
     else:
-        place[last] = value
+        parent_table[last] = value
     return data
 
 
 def test_valid_settings_are_read_and_unknown_ones_ignored(tmp_path):
-    settings = platform.load_settings(write(tmp_path, VALID))
+    settings = platform.load_settings(write_settings(tmp_path, VALID))
     assert settings.gateway.name == "front-a-1"
     assert settings.gateway.peer == ("10.1.0.34", 7540)
     assert settings.gateway.seeds == ("10.1.0.34", "10.2.0.34")
@@ -71,30 +71,30 @@
         ("bounds.grace_s", True, "bounds.grace_s: True"),
     ],
 )
-def test_wrong_setting_is_named_with_its_value(tmp_path, key, value, expected):
-    path = write(tmp_path, changed(key, value))
-    with pytest.raises(errors.ConfigurationError) as caught:
+def test_invalid_setting_is_reported_with_its_value(tmp_path, key, value, expected):
+    path = write_settings(tmp_path, settings_with(key, value))
+    with pytest.raises(errors.ConfigurationError) as error_info:
         platform.load_settings(path)
-    assert expected in caught.value.detail
+    assert expected in error_info.value.detail
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "1"])
 def test_file_that_is_no_object_is_refused(tmp_path, text):
     with pytest.raises(errors.ConfigurationError):
-        platform.load_settings(write(tmp_path, text))
+        platform.load_settings(write_settings(tmp_path, text))
 
 
-def test_check_command_accepts_them(tmp_path, capsys):
-    path = write(tmp_path, VALID)
+def test_check_command_accepts_valid_settings(tmp_path, capsys):
+    path = write_settings(tmp_path, VALID)
     assert cli.main(["check", str(path)]) == 0
     assert "users' platform" in capsys.readouterr().out
-    bad = write(tmp_path, changed("listen.front", "nowhere"))
+    bad = write_settings(tmp_path, settings_with("listen.front", "nowhere"))
     assert cli.main(["check", str(bad)]) == 2
     assert "listen.front: 'nowhere'" in capsys.readouterr().err
 
 
-def test_bad_settings_end_the_start_with_one_line(tmp_path):
-    path = write(tmp_path, changed("listen.front", "nowhere"))
+def test_invalid_settings_end_the_startup_with_one_line(tmp_path):
+    path = write_settings(tmp_path, settings_with("listen.front", "nowhere"))
     finished = subprocess.run(
         [sys.executable, "-m", "boragegw.platform"],
         env={"BORAGEGW_SETTINGS": str(path)},
@@ -107,9 +107,9 @@
     assert line.endswith("listen.front: 'nowhere', expected host:port")
 
 
-def test_serving_process_imports_no_heavy_library():
-    """A killed process is back as soon as it has imported its modules. Each library of
-    the operators' side would add between 20 and 440 ms of processor time to that.
+def test_gateway_process_imports_no_heavy_library():
+    """A killed process serves again as soon as its imports have finished. Each library
+    of the operator tools would add between 20 and 440 ms of CPU time.
     """
     code = (
         "import boragegw.platform, sys; print(*sorted(m for m in sys.modules "
@@ -123,8 +123,8 @@
     assert not loaded
 
 
-def test_the_platforms_own_form_is_read_too(tmp_path):
-    """Without a template the platform writes TOML."""
+def test_toml_settings_are_read(tmp_path):
+    """The platform writes TOML if no template is configured."""
     text = """
 node = "front-a-1"
 ip = "10.1.0.34"
@@ -138,7 +138,7 @@
 [platform]
 address = "10.200.1.7:8541"
 """
-    path = write(tmp_path, text)
+    path = write_settings(tmp_path, text)
     assert platform.is_settings_file(path)
     settings = platform.load_settings(path)
     assert settings.gateway.front == ("10.1.0.34", 8548)
@@ -146,8 +146,8 @@
 
 
 @pytest.mark.parametrize("text", ["node = ", "{", "\xff\xfe", "no settings at all"])
-def test_text_in_neither_form_is_refused_in_one_line(tmp_path, text):
-    path = write(tmp_path, text)
+def test_text_in_neither_format_is_refused(tmp_path, text):
+    path = write_settings(tmp_path, text)
     assert not platform.is_settings_file(path)
     with pytest.raises(errors.ConfigurationError, match="node.json"):
         platform.load_settings(path)
--- a/boragegw/platform/tests/test_startup.py
+++ b/boragegw/platform/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""The first moments of a process: callers that connect before its imports end."""
+"""Startup of a process before and during its imports."""
 
 import asyncio
 import importlib
@@ -12,19 +12,19 @@
 
 from boragegw import platform
 
-start = importlib.import_module("boragegw.platform.__main__")
+main_module = importlib.import_module("boragegw.platform.__main__")
 ROOT = pathlib.Path(platform.__file__).parents[2]
 PROGRAM = str(ROOT / "boragegw" / "platform" / "__main__.py")
 
 
-def test_connection_opened_before_the_imports_is_served():
-    """All processes are killed at once. Callers connect while they start again; a
-    refused connection costs one of two tries, and every other process refuses too.
+def test_connection_opened_during_the_imports_is_served():
+    """All processes are killed at once, and callers connect while they restart. A
+    refused connection costs one of two attempts, and all other processes refuse too.
     """
-    descriptor = start.listen("127.0.0.1:0")
+    descriptor = main_module.listen("127.0.0.1:0")
     listener = socket.socket(fileno=descriptor)
-    early = socket.create_connection(listener.getsockname())
-    early.sendall(b"question")
+    early_connection = socket.create_connection(listener.getsockname())
+    early_connection.sendall(b"question")
 
     async def serve():
         answered = asyncio.get_running_loop().create_future()
@@ -40,13 +40,13 @@
         server.close()
 
     asyncio.run(serve())
-    with early:
-        assert early.recv(8) == b"question"
+    with early_connection:
+        assert early_connection.recv(8) == b"question"
 
 
-def test_hangup_signal_during_the_imports_does_not_end_the_process():
-    """Operators change the settings of a machine whose process has just started. The
-    signal that says so would end a process that has no handler for it yet.
+def test_sighup_during_the_imports_does_not_terminate_the_process():
+    """Operators change the settings of a process that has just been started. The
+    SIGHUP would terminate a process that has no handler for it yet.
     """
     code = (
         "import os, runpy, signal, sys\n"
@@ -60,15 +60,15 @@
         f"runpy.run_path({PROGRAM!r}, run_name='__main__')\n"
     )
     environment = {k: v for k, v in os.environ.items() if k != "BORAGEGW_SETTINGS"}
-    ended = subprocess.run(
+    finished = subprocess.run(
         [sys.executable, "-c", code], env=environment, capture_output=True, text=True
     )
-    assert ended.returncode != -signal.SIGHUP
-    assert "BORAGEGW_SETTINGS is not set" in ended.stderr
+    assert finished.returncode != -signal.SIGHUP
+    assert "BORAGEGW_SETTINGS is not set" in finished.stderr
 
 
-def test_neither_tls_nor_its_hashes_are_imported():
-    """They take 14 of 150 ms of a start; only the order of imports keeps them out."""
+def test_tls_and_openssl_hashes_are_not_imported():
+    """They take 14 of 150 ms of a startup; only the import order avoids them."""
     code = (
         "import runpy, sys\n"
         f"run = runpy.run_path({PROGRAM!r})['run']\n"
@@ -78,13 +78,13 @@
         "print(*(name for name in names if sys.modules.get(name)))\n"
     )
     environment = {k: v for k, v in os.environ.items() if k != "BORAGEGW_SETTINGS"}
-    # Without the site module, as it is started there: it may import anything.
+    # Without the site module, as in production: site may import any module.
     paths = [str(ROOT), *site.getsitepackages()]
     environment["PYTHONPATH"] = os.pathsep.join(paths)
-    ended = subprocess.run(
+    finished = subprocess.run(
         [sys.executable, "-S", "-c", code],
         env=environment,
         capture_output=True,
         text=True,
     )
-    assert ended.stdout.split() == ["asyncio"]
+    assert finished.stdout.split() == ["asyncio"]
--- a/boragegw/platform/tests/test_store_updates.py
+++ b/boragegw/platform/tests/test_store_updates.py
@@ -1,4 +1,4 @@
-"""What the gateways take over from the store, when, and what they refuse to."""
+"""Which records of the store the gateways adopt, and when."""
 
 import asyncio
 
@@ -8,13 +8,13 @@
 in_memory = standins.in_memory
 
 
-async def world(**fields):
+async def start_installation(**fields):
     return await standins.WireWorld().start(**fields)
 
 
 @in_memory
-async def test_newer_configuration_is_in_force_and_an_older_one_never_again():
-    installation = await world(prefix="/a/")
+async def test_newer_configuration_is_adopted_and_an_older_one_is_not():
+    installation = await start_installation(prefix="/a/")
     installation.publish([installation.route("/b/")])
     await asyncio.sleep(1.0)
     assert (await installation.call("/a/1")).status == 404
@@ -25,8 +25,8 @@
 
 
 @in_memory
-async def test_entries_of_other_writers_change_nothing():
-    installation = await world()
+async def test_invalid_entries_are_ignored():
+    installation = await start_installation()
     for number, value in enumerate((b"\xff", {}, {"address": 1}, b"[]", "text")):
         installation.store.put(f"servers/i-x{number}", value)
     entry = installation.backends["i-0"].entry("app")
@@ -38,11 +38,11 @@
 
 
 @in_memory
-async def test_delayed_entry_does_not_bring_a_leaving_server_back():
-    """A backend server announces that it leaves; then an older report of it, delayed
-    on the way, overwrites the entry. It must not get work again.
+async def test_delayed_entry_does_not_restore_a_draining_server():
+    """A backend server reports that it is draining; then a delayed older report
+    overwrites the entry. The server must not get new requests again.
     """
-    installation = await world(kind="unsafe")
+    installation = await start_installation(kind="unsafe")
     leaving = installation.backends["i-0"]
     installation.store.put("servers/i-0", leaving.entry("app", state="draining", seq=9))
     installation.store.put("servers/i-0", leaving.entry("app", seq=8))
@@ -53,9 +53,9 @@
 
 
 @in_memory
-async def test_delayed_entry_is_not_passed_on_in_place_of_the_newer_one():
-    """Those that follow the process that watches the store hear of both at once."""
-    installation = await world(gateways=3, kind="unsafe")
+async def test_delayed_entry_is_not_replicated_instead_of_the_newer_one():
+    """Followers of the process that watches the store get both reports at once."""
+    installation = await start_installation(gateways=3, kind="unsafe")
     await asyncio.sleep(3.0)
     installation.publish([installation.route(kind="unsafe")])
     await asyncio.sleep(0.1)
@@ -69,8 +69,8 @@
 
 
 @in_memory
-async def test_lost_history_is_read_anew():
-    installation = await world()
+async def test_lost_history_causes_a_full_read():
+    installation = await start_installation()
     installation.store.forget_history()
     await installation.add_backend("i-7")
     installation.store.forget_history()
@@ -79,7 +79,7 @@
 
 
 @in_memory
-async def test_store_in_pages_is_read_whole():
+async def test_paged_store_is_read_completely():
     installation = standins.WireWorld()
     installation.store.page = 2
     await installation.start(backends=7)
@@ -88,18 +88,20 @@
 
 
 @in_memory
-async def test_change_reaches_a_process_whose_watch_went_silent():
-    """One process's watch is silently forgotten while the store drops its history and
-    a configuration changes. It hears from another process that it knows too little.
-    It left its source every 0.4 s, each time just before the store's answer, and
-    served an old configuration for eight seconds.
+async def test_change_reaches_a_process_with_a_silent_watch():
+    """The watch of one process is silently dropped while the store loses its history
+    and a configuration changes. Another process tells it that it is outdated. It
+    left its source every 0.4 s, each time just before the response of the store, and
+    served the old configuration for eight seconds.
     """
     installation = standins.WireWorld()
     await installation.start(gateways=2, data_centres=("dc-a", "dc-b"))
     await asyncio.sleep(3.0)
     installation.network.delay = 0.04
-    near = [c for c in installation.network.connections if c[0].remote == STORE]
-    for one, other in near:
+    store_connections = [
+        c for c in installation.network.connections if c[0].remote == STORE
+    ]
+    for one, other in store_connections:
         if one.local[0] == "gw-1":
             one.silent = other.silent = True
     installation.publish([installation.route("/new/")])
@@ -110,11 +112,11 @@
 
 
 @in_memory
-async def test_watch_that_is_cut_once_does_not_count_as_a_lost_store():
-    """The store cuts waiting watches now and then. Each cut made all processes that
-    follow the watcher look for another source at the same moment.
+async def test_single_broken_watch_is_not_a_store_outage():
+    """The store occasionally closes waiting watches. Each time, all followers of the
+    process that watches the store changed their source at once.
     """
-    installation = await world(gateways=3)
+    installation = await start_installation(gateways=3)
     await asyncio.sleep(3.0)
     watchers = [p for p in installation.processes.values() if p.own.watches_store]
     assert len(watchers) == 1
@@ -132,13 +134,13 @@
 
 
 @in_memory
-async def test_change_that_no_watch_hears_is_in_force_within_seconds():
-    """The store drops its history: for a second no watch hears anything, a
-    configuration changes meanwhile, then all watches are cut. One that begins anew at
-    that moment is as deaf, and no process knows more than another. The old
-    configuration was served for four seconds more.
+async def test_change_missed_by_all_watches_is_adopted_within_seconds():
+    """The store loses its history: for a second no watch gets events, a configuration
+    changes meanwhile, then all watches are closed. A watch that starts at that moment
+    gets no events either, and no process is ahead of another. The old configuration
+    was served for four more seconds.
     """
-    installation = await world(gateways=3)
+    installation = await start_installation(gateways=3)
     await asyncio.sleep(30.0)
     installation.store.deaf = True
     for one, other in installation.network.connections:
@@ -160,11 +162,11 @@
 
 
 @in_memory
-async def test_store_that_fails_right_after_it_lost_its_history_ends_no_process():
-    """The store answers a watch with 410 and the full read that follows with 503. The
-    error of the second read ended the process.
+async def test_store_failure_after_a_lost_history_stops_no_process():
+    """The store responds to a watch with 410 and to the following full read with 503.
+    The error of the second read stopped the process.
     """
-    installation = await world()
+    installation = await start_installation()
     installation.store.forget_history()
     await installation.add_backend("i-8")
     installation.store.forget_history()
@@ -179,10 +181,10 @@
 
 
 @in_memory
-async def test_first_start_of_a_fleet_costs_few_calls_to_the_store():
-    """The whole system starts for the first time. Nobody has heard of anybody yet, so
-    each process took itself for the one that reads the store: of a hundred, all did,
-    and calls are scarce and priced.
+async def test_first_start_of_a_fleet_causes_few_store_calls():
+    """On the first start of a system no process knows its peers yet, so each assumed
+    that it is the one to read the store: in a fleet of a hundred, all of them did.
+    Calls to the store are limited and priced.
     """
     installation = standins.WireWorld()
     await installation.store.start()
@@ -196,9 +198,9 @@
 
 
 @in_memory
-async def test_process_on_the_fastest_link_reads_the_store():
-    """One large machine and many with links of 5 Mbit/s: a watcher on a slow link kept
-    the others waiting, and they all called the store themselves.
+async def test_process_with_the_fastest_link_watches_the_store():
+    """One VM has a fast link and the others have 5 Mbit/s: a watcher on a slow link
+    delayed the others, and they all called the store themselves.
     """
     installation = standins.WireWorld()
     await installation.store.start()
