--- a/boragegw/platform/tests/test_delayed_reports.py
+++ b/boragegw/platform/tests/test_delayed_reports.py
@@ -7,7 +7,7 @@
 
 from boragegw import gateway, standins
 from boragegw.gateway.tests import test_catalogue
-from boragegw.platform import _decoder
+from boragegw.platform import _documents
 
 in_memory = standins.in_memory
 
@@ -185,7 +185,9 @@
 @pytest.mark.parametrize("after_store_failure", [True, False])
 def test_retained_draining_report_of_a_missing_server_is_adopted(after_store_failure):
     """The older report replaced the one retained while the entry was missing."""
-    source = test_catalogue.catalogue(_decoder.RecordDecoder(test_catalogue.Lines()))
+    source = test_catalogue.catalogue(
+        _documents.DocumentDecoder(test_catalogue.Lines())
+    )
     source.adopt_snapshot(gateway.Reading([server_record(7, "ready", 1)], 1))
     if after_store_failure:
         source.trouble_at = source.now()
--- a/boragegw/platform/tests/test_stalled_responses.py
+++ b/boragegw/platform/tests/test_stalled_answers.py
@@ -166,17 +166,15 @@
     assert written.count(b"y") == 2
 
 
-@pytest.mark.parametrize("close_event", ["eof_received", "connection_lost"])
+@pytest.mark.parametrize("leaving", ["eof_received", "connection_lost"])
 @in_memory
-async def test_disconnect_of_a_caller_that_does_not_read_is_detected(close_event):
+async def test_disconnect_of_a_caller_that_does_not_read_is_detected(leaving):
     """A blocked write was not woken until the connection was lost."""
     connection, _ = test_front.connect(test_front.Process())
     connection.pause_writing()
     writing = asyncio.create_task(connection.writable())
     await asyncio.sleep(0.1)
     assert not writing.done()
-    getattr(connection, close_event)(
-        *([None] if close_event == "connection_lost" else [])
-    )
+    getattr(connection, leaving)(*([None] if leaving == "connection_lost" else []))
     await asyncio.sleep(0.0)
     await asyncio.wait_for(writing, 1.0)
