--- a/boragegw/gateway/_reports.py
+++ b/boragegw/gateway/_reports.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from boragegw import balancing, utils
-from boragegw.gateway import _knowledge
+from boragegw.gateway import _sources
 
 #: Servers that are gone whose last report is kept.
 DEPARTED = 2000
@@ -16,7 +16,7 @@
     :param record: the :class:`~boragegw.gateway.Record` that holds it.
     """
 
-    record: _knowledge.Record
+    record: _sources.Record
     listing: balancing.Listing
 
     def is_newer_than(self, other):
@@ -28,7 +28,7 @@
         return self.listing.started_ms, self.listing.sequence
 
 
-class Reports:
+class LatestReports:
     """Keeps the newest report of each server, whatever the store holds later.
 
     Guards against a report that was delayed and overwrites a newer one: it would bring
--- a/boragegw/gateway/_listings.py
+++ b/boragegw/gateway/_server_registry.py
@@ -1,10 +1,10 @@
 """Backend servers as the platform lists them: joined, changed, doubted, gone."""
 
 from boragegw import balancing
-from boragegw.gateway import _knowledge, _reports
+from boragegw.gateway import _reports, _sources
 
 
-class Listings:
+class ServerRegistry:
     """Writes the servers that are listed to the board.
 
     :param on_addresses_gone: called with addresses that are no longer listed.
@@ -20,7 +20,7 @@
         self.on_addresses_gone = on_addresses_gone
         self.on_joined = on_joined
         self.trouble_at = float("-inf")
-        self._reports = _reports.Reports()
+        self._reports = _reports.LatestReports()
         self._doubted = {}
 
     def adopt(self, record, listing, is_first):
@@ -57,8 +57,8 @@
         if server is None or key in self._doubted:
             return
         now = self.now()
-        if now - self.trouble_at < _knowledge.TROUBLE_MEMORY:
-            self._doubted[key] = now + _knowledge.LAPSE_GRACE
+        if now - self.trouble_at < _sources.TROUBLE_MEMORY:
+            self._doubted[key] = now + _sources.LAPSE_GRACE
             self.log.event("server-doubted", server=server.identity)
             return
         self._drop(key)
--- a/boragegw/platform/_store.py
+++ b/boragegw/platform/_store.py
@@ -81,7 +81,7 @@
             records += [_to_record(item) for item in page.items]
             if not page.has_more or not page.items:
                 in_one_page = not after
-                return gateway.Reading(records, position, consistent=in_one_page)
+                return gateway.ReadResult(records, position, consistent=in_one_page)
             after = page.items[-1].key
 
     async def _get_page(self, path, attempts):
--- a/boragegw/platform/tests/test_slow_sources.py
+++ b/boragegw/platform/tests/test_slow_sources.py
@@ -5,7 +5,7 @@
 import pytest
 
 from boragegw import gateway, standins
-from boragegw.gateway import _knowledge
+from boragegw.gateway import _sources
 from boragegw.gateway.tests import test_catalogue, test_replication
 from boragegw.platform.tests import test_large_configuration, test_sources
 from boragegw.standins import _wire_store, _wire_world
@@ -122,7 +122,7 @@
 
         async def read_all(self):
             position = follower.catalogue.position - 1
-            return gateway.Reading([], position)
+            return gateway.ReadResult([], position)
 
     with pytest.raises(gateway.SourceError, match="knows less"):
         await follower._reread("other", OutdatedSource())
@@ -136,8 +136,8 @@
     before = pair.counters["sources.bytes"]
     later = test_replication.large() + b"x"
     record = gateway.Record(test_replication.KEY, later, 9)
-    pair.source.adopt_snapshot(gateway.Reading([record], 8))
-    pair.source.adopt_changes(gateway.Reading([record], 9))
+    pair.source.adopt_snapshot(gateway.ReadResult([record], 8))
+    pair.source.adopt_changes(gateway.ReadResult([record], 9))
     await pair.follow()
     assert pair.follower.record(test_replication.KEY).value == later
     used = pair.counters["sources.bytes"] - before
@@ -173,7 +173,7 @@
 
     @property
     def progress(self):
-        return _knowledge.Progress()
+        return _sources.Progress()
 
     async def read_all(self):
         await asyncio.sleep(3600.0)
@@ -248,9 +248,9 @@
 async def test_follower_that_returns_to_a_source_needs_no_full_read():
     """It knows the current number of misses; a new ``PeerSource`` had forgotten it."""
     pair = await test_replication.Pair().start(test_replication.large())
-    pair.source.adopt_changes(gateway.Reading([], 5))
+    pair.source.adopt_changes(gateway.ReadResult([], 5))
     missed = gateway.Record(test_replication.KEY, test_replication.large(2), 4)
-    pair.source.adopt_snapshot(gateway.Reading([missed], 5))
+    pair.source.adopt_snapshot(gateway.ReadResult([missed], 5))
     pair.follower.adopt_snapshot(await pair.client.read_all())
     await pair.follow()
     again = gateway.PeerSource(
--- a/boragegw/platform/tests/test_sources.py
+++ b/boragegw/platform/tests/test_sources.py
@@ -41,7 +41,7 @@
 def paged_read(record_revision, position, value=b"x" * 100):
     """Return a full read with a record that is newer than its position."""
     record = gateway.Record(test_replication.KEY, value, record_revision)
-    return gateway.Reading([record], position)
+    return gateway.ReadResult([record], position)
 
 
 @in_memory
@@ -124,7 +124,7 @@
     )
     pair.source.adopt_snapshot(read_result)
     await pair.client.read_all()
-    missed = gateway.Reading([gateway.Record(test_replication.KEY, b"other", 4)], 5)
+    missed = gateway.ReadResult([gateway.Record(test_replication.KEY, b"other", 4)], 5)
     pair.source.adopt_snapshot(missed)
     found = await pair.client.read_all()
     assert {r.key: r.value for r in found.records} == {test_replication.KEY: b"other"}
@@ -133,9 +133,9 @@
 @in_memory
 async def test_missed_change_makes_followers_read_all_despite_a_kept_response():
     pair = await test_replication.Pair().start(b"first")
-    pair.source.adopt_changes(gateway.Reading([], 5))
+    pair.source.adopt_changes(gateway.ReadResult([], 5))
     await pair.client.watch(3, 0.0)
-    missed = gateway.Reading([gateway.Record(test_replication.KEY, b"other", 4)], 5)
+    missed = gateway.ReadResult([gateway.Record(test_replication.KEY, b"other", 4)], 5)
     pair.source.adopt_snapshot(missed)
     with pytest.raises(gateway.HistoryLostError):
         await pair.client.watch(3, 0.0)
@@ -145,10 +145,10 @@
 async def test_missed_change_reaches_followers_at_the_same_position():
     """The followers are at the position of the read, not before it."""
     pair = await test_replication.Pair().start(b"first")
-    pair.source.adopt_changes(gateway.Reading([], 5))
+    pair.source.adopt_changes(gateway.ReadResult([], 5))
     await pair.follow()
     assert pair.follower.position == 5
-    missed = gateway.Reading([gateway.Record(test_replication.KEY, b"other", 4)], 5)
+    missed = gateway.ReadResult([gateway.Record(test_replication.KEY, b"other", 4)], 5)
     pair.source.adopt_snapshot(missed)
     try:
         await pair.follow()
@@ -340,8 +340,8 @@
 def test_prepared_responses_are_kept_up_to_their_limit(monkeypatch):
     prepared = []
     source = test_catalogue.catalogue()
-    source.adopt_snapshot(gateway.Reading([gateway.Record("a", b"{}", 1)], 1))
-    source.adopt_changes(gateway.Reading([], 100))
+    source.adopt_snapshot(gateway.ReadResult([gateway.Record("a", b"{}", 1)], 1))
+    source.adopt_changes(gateway.ReadResult([], 100))
     server = gateway.ReplicaServer(source, now=lambda: 0.0)
     make = server._make
     monkeypatch.setattr(server, "_make", lambda *a: prepared.append(a) or make(*a))
