--- a/boragegw/platform/_documents.py
+++ b/boragegw/platform/_documents.py
@@ -82,7 +82,7 @@
             target_latency=wire.target_latency_s,
             priority=wire.priority,
             max_attempts=wire.max_attempts,
-            parts=_weighted_services(wire),
+            weighted_services=_weighted_services(wire),
         )
 
     def _route_kind(self, wire):
--- a/boragegw/platform/_store.py
+++ b/boragegw/platform/_store.py
@@ -97,7 +97,7 @@
         """Wait up to ``wait`` seconds for changes after the position ``after``."""
         path = f"/v1/kv-watch?prefix=&after={after}&wait_ms={int(wait * 1000)}"
         changes = await self._get(path, self._events, wait + RESPONSE_TIMEOUT_SECONDS)
-        return gateway.Reading(
+        return gateway.ReadResult(
             [_to_record(item) for item in changes.events], changes.as_of
         )
 
--- a/boragegw/platform/tests/test_delayed_reports.py
+++ b/boragegw/platform/tests/test_delayed_reports.py
@@ -188,12 +188,12 @@
     source = test_catalogue.catalogue(
         _documents.DocumentDecoder(test_catalogue.Lines())
     )
-    source.adopt_snapshot(gateway.Reading([server_record(7, "ready", 1)], 1))
+    source.adopt_snapshot(gateway.ReadResult([server_record(7, "ready", 1)], 1))
     if after_store_failure:
         source.trouble_at = source.now()
-    source.adopt_changes(gateway.Reading([gateway.Record(KEY, None, 2)], 2))
+    source.adopt_changes(gateway.ReadResult([gateway.Record(KEY, None, 2)], 2))
     assert (KEY in source.board.servers) == after_store_failure
     assert source.adopt_retained([server_record(9, "draining", 3, retained=True)]) == 1
-    source.adopt_changes(gateway.Reading([server_record(8, "ready", 3)], 3))
+    source.adopt_changes(gateway.ReadResult([server_record(8, "ready", 3)], 3))
     assert source.board.servers[KEY].listing.draining
     assert [r.retained for r in source.snapshot().records] == [True]
--- a/boragegw/platform/tests/test_sources.py
+++ b/boragegw/platform/tests/test_sources.py
@@ -115,7 +115,7 @@
 async def test_full_response_is_rebuilt_when_a_read_shows_missed_changes():
     """Responses are cached by position, which such a read does not change."""
     pair = await test_replication.Pair().start(b"first")
-    read_result = gateway.Reading(
+    read_result = gateway.ReadResult(
         [
             gateway.Record(test_replication.KEY, b"first", 1),
             gateway.Record("gone", b"x", 2),
