--- a/boragegw/platform/_process.py
+++ b/boragegw/platform/_process.py
@@ -101,12 +101,12 @@
         if self.gateway is None:
             return
         try:
-            fresh = _settings.load_settings(self.path)
+            reloaded = _settings.load_settings(self.path)
         except errors.ConfigurationError as error:
             self.gateway.log.event("settings-invalid", detail=error.detail)
             return
         self.gateway.log.event("settings-read")
-        self.gateway.use_seeds(fresh.gateway.seeds)
+        self.gateway.use_seeds(reloaded.gateway.seeds)
 
     async def _watch_settings(self):
         while True:
--- a/boragegw/platform/_store.py
+++ b/boragegw/platform/_store.py
@@ -102,13 +102,13 @@
         )
 
     async def _get(self, path, decoder, timeout):
-        answer = await self._fetcher.get(path, timeout)
-        if answer.status == STATUS_GONE:
-            raise gateway.HistoryLostError(f"{path}: status {answer.status}")
-        if answer.status != 200:
-            raise gateway.SourceError(f"store returned status {answer.status}")
+        response = await self._fetcher.get(path, timeout)
+        if response.status == STATUS_GONE:
+            raise gateway.HistoryLostError(f"{path}: status {response.status}")
+        if response.status != 200:
+            raise gateway.SourceError(f"store returned status {response.status}")
         try:
-            return decoder.decode(answer.body)
+            return decoder.decode(response.body)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
             raise gateway.SourceError(
                 f"invalid response of the store: {error}"
