--- a/boragegw/blackboard/_journal.py
+++ b/boragegw/blackboard/_request_history.py
@@ -1,11 +1,11 @@
-"""The bounded memory of recent requests, for operators' questions."""
+"""Bounded history of recent requests, for operators who investigate a request."""
 
 import collections
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True)
-class AttemptNote:
+class AttemptRecord:
     """One attempt: where it went, why, and how it ended."""
 
     attempt_id: str
@@ -18,8 +18,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class RequestNote:
-    """One request's way through this entry."""
+class RequestRecord:
+    """One request with its attempts and outcome in this entry."""
 
     request_id: str
     service: str
@@ -32,7 +32,7 @@
     verdict: str = ""
 
 
-class Journal:
+class RequestHistory:
     """The latest requests by id.
 
     :param capacity: requests remembered; the oldest goes first.
@@ -40,22 +40,22 @@
 
     def __init__(self, capacity=2000):
         self.capacity = capacity
-        self._notes = collections.OrderedDict()
+        self._records = collections.OrderedDict()
 
     def __len__(self):
-        return len(self._notes)
+        return len(self._records)
 
-    def open(self, note):
-        """Remember ``note`` and return it."""
-        self._notes[note.request_id] = note
-        while len(self._notes) > self.capacity:
-            self._notes.popitem(last=False)
-        return note
+    def add(self, record):
+        """Add ``record`` and return it."""
+        self._records[record.request_id] = record
+        while len(self._records) > self.capacity:
+            self._records.popitem(last=False)
+        return record
 
     def find(self, request_id):
-        """Return the note of a request, or ``None``."""
-        return self._notes.get(request_id)
+        """Return the record of a request, or ``None``."""
+        return self._records.get(request_id)
 
     def latest(self, count):
         """Return the ids of the ``count`` latest requests, the newest first."""
-        return list(reversed(self._notes))[:count]
+        return list(reversed(self._records))[:count]
--- a/boragegw/standins/_virtual_transport.py
+++ b/boragegw/standins/_virtual_transport.py
@@ -133,7 +133,9 @@
         return await self._run(server, attempt)
 
     async def _run(self, server, attempt):
-        key = messages.find(attempt.headers, messages.IDEMPOTENCY_KEY, b"").decode()
+        key = messages.find_header(
+            attempt.headers, messages.IDEMPOTENCY_KEY_HEADER, b""
+        ).decode()
         try:
             await server.run(key, attempt.target, attempt.attempt_id)
         except ConnectionResetError as error:
@@ -170,5 +172,5 @@
     half = len(content) // 2
     yield content[:half]
     if truncated:
-        raise errors.TruncatedAnswerError("broke off")
+        raise errors.TruncatedResponseError("broke off")
     yield content[half:]
