--- a/benchmarks/_rollout_fleet.py
+++ b/benchmarks/_rollout_fleet.py
@@ -95,11 +95,11 @@
             incarnation=number,
             beat=0,
             data_centre=f"dc-{centre}",
-            front=f"{name}:8548",
-            peer=f"{name}:{standins.PEER_PORT}",
+            caller_address=f"{name}:8548",
+            peer_address=f"{name}:{standins.PEER_PORT}",
             life=gateway.Life.READY,
             revision=1,
-            link=link,
+            link_mbps=link,
         )
 
     async def start(self, routes):
--- a/benchmarks/_rollout_replica.py
+++ b/benchmarks/_rollout_replica.py
@@ -83,13 +83,13 @@
         super().__init__(*args, **kwargs)
         self._shared = shared
 
-    def adopt_snapshot(self, reading):
+    def apply_snapshot(self, reading):
         """Replace all records by a full reading."""
-        return super().adopt_snapshot(self._share(reading))
+        return super().apply_snapshot(self._share(reading))
 
-    def adopt_changes(self, reading):
+    def apply_changes(self, reading):
         """Apply the changes of a watch."""
-        super().adopt_changes(self._share(reading))
+        super().apply_changes(self._share(reading))
 
     def _share(self, reading):
         records = [
@@ -104,13 +104,13 @@
 class OpaqueDecoder(gateway.Decoder):
     """Finds nothing in any record, in no time."""
 
-    def listing(self, record):
+    def decode_server(self, record):
         """Return ``None``."""
 
-    def configuration(self, record):
+    def decode_configuration(self, record):
         """Return ``None``."""
 
-    def evacuated(self, record):
+    def decode_evacuation(self, record):
         """Return ``None``."""
 
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -92,7 +92,7 @@
     """Return a context in which the variant ``name`` is in force."""
     if name == "star":
         return unittest.mock.patch.object(
-            _replication_tree, "followers_of", lambda member: UNLIMITED
+            _replication_tree, "max_followers", lambda member: UNLIMITED
         )
     if name == "whole records":
         return unittest.mock.patch.object(
--- a/boragegw/gateway/_catalogue.py
+++ b/boragegw/gateway/_catalogue.py
@@ -62,13 +62,13 @@
         return max((r.revision for r in self._changed_after(0)), default=0)
 
     @property
-    def trouble_at(self):
+    def store_trouble_at(self):
         """Monotonic seconds at which the store had trouble last."""
-        return self._registry.trouble_at
+        return self._registry.store_trouble_at
 
-    @trouble_at.setter
-    def trouble_at(self, moment):
-        self._registry.trouble_at = moment
+    @store_trouble_at.setter
+    def store_trouble_at(self, moment):
+        self._registry.store_trouble_at = moment
 
     @property
     def misses(self):
@@ -134,7 +134,7 @@
 
     # Adoption.
 
-    def adopt_snapshot(self, reading):
+    def apply_snapshot(self, reading):
         """Replace all records by a full reading, unless it is older than them."""
         if reading.position < self._position:
             self.log.event(
@@ -169,7 +169,7 @@
         ]
         return changed, deleted
 
-    def adopt_changes(self, reading):
+    def apply_changes(self, reading):
         """Apply the changes of a watch that are newer than what is known."""
         before = {r.key: self._records.get(r.key) for r in reading.records}
         missed = self._history.judge_changes(reading, self._position)
@@ -187,7 +187,7 @@
         if reading.records or missed:
             self._finish()
 
-    def adopt_retained(self, records):
+    def apply_retained(self, records):
         """Take what another process retains; return how many records were newer.
 
         :param records: iterable of :class:`Record`.
@@ -201,7 +201,7 @@
     def _take_retained(self, records):
         taken = 0
         for record in records:
-            listing = self.decoder.listing(record)
+            listing = self.decoder.decode_server(record)
             if listing is None:
                 continue
             if self._registry.learn(_reports.Report(record, listing)):
@@ -249,12 +249,12 @@
             if large and known is not None:
                 self._previous[key] = known
 
-    def settle(self):
+    def expire_suspects(self):
         """Drop the servers that stayed away after trouble with the store."""
-        self._registry.settle()
+        self._registry.expire_suspects()
 
     def _finish(self):
-        evacuated = {self.decoder.evacuated(r) for r in self._records.values()}
+        evacuated = {self.decoder.decode_evacuation(r) for r in self._records.values()}
         evacuated.discard(None)
         if evacuated != self.board.evacuated:
             self.log.event(
@@ -274,14 +274,14 @@
         What is older is not passed on either: who reads it later would not know better.
         """
         started = self.now()
-        configuration = self.decoder.configuration(record)
+        configuration = self.decoder.decode_configuration(record)
         if configuration is not None:
             seconds = round(self.now() - started, 4)
             known = self._records.get(record.key)
             if self._adopt_configuration(configuration, record, seconds) or not known:
                 return record
             return dataclasses.replace(known, revision=record.revision)
-        listing = self.decoder.listing(record)
+        listing = self.decoder.decode_server(record)
         if listing is not None:
             return self._registry.adopt(record, listing, self._position < 0)
         self._registry.remove(record.key)
--- a/boragegw/gateway/_follower.py
+++ b/boragegw/gateway/_follower.py
@@ -75,7 +75,7 @@
             catalogue, membership, now=now, random_state=random_state
         )
         self._hedged_read = None
-        self._following = None
+        self._source_name = None
         self._peer = None
         self._store_failures = 0
         self._lost_pause = 0.0
@@ -102,7 +102,7 @@
                     "history-lost", source=name or "store", detail=str(error)
                 )
                 self._must_reread = True
-                await self._pause_if_lost_again()
+                await self._back_off_after_lost_history()
             except _sources.SourceError as error:
                 await self._failed(name, error)
 
@@ -140,7 +140,7 @@
     def _source(self, name):
         if name is None:
             return self.store
-        alive = {m.name: m.peer for m in self.membership.alive()}
+        alive = {m.name: m.peer_address for m in self.membership.alive()}
         address = alive.get(name)
         if address is None:
             raise _sources.SourceError(f"{name} is out of sight")
@@ -152,7 +152,7 @@
 
     async def _read(self, name):
         source = self._source(name)
-        self._following = name
+        self._source_name = name
         self._asked_at = self.now()
         try:
             if self._must_reread:
@@ -161,7 +161,7 @@
                 await self._watch(name, source)
         finally:
             self._hedged_read = None
-            self._following = None
+            self._source_name = None
             self._asked_at = math.inf
 
     async def _watch(self, name, source):
@@ -174,11 +174,11 @@
         if answer is None:
             return
         name, reading = answer
-        self._following = name
+        self._source_name = name
         self._succeeded(name)
         self._wait = min(2 * self._wait, LONGEST_WATCH_WAIT)
         self._lost_pause = 0.0
-        self.catalogue.adopt_changes(reading)
+        self.catalogue.apply_changes(reading)
         self._note_revision()
         if name is None:
             await asyncio.sleep(SETTLE)
@@ -194,7 +194,7 @@
         if answer is None:
             return
         name, reading = answer
-        if not self.catalogue.adopt_snapshot(reading) and name is not None:
+        if not self.catalogue.apply_snapshot(reading) and name is not None:
             raise _sources.SourceError("it knows less than this process")
         self._succeeded(name)
         self._must_reread = False
@@ -220,11 +220,11 @@
         if not own.reads_store:
             own.reads_store = True
             own.watches_store = True
-            self.catalogue.trouble_at = self.now()
+            self.catalogue.store_trouble_at = self.now()
             self.log.event("store-regained", position=self.catalogue.position)
             self.membership.announce()
 
-    async def _pause_if_lost_again(self):
+    async def _back_off_after_lost_history(self):
         """Wait, longer each time, where full readings do not help.
 
         Guards against a source that knows no position that it states itself: it would
@@ -257,7 +257,7 @@
             await asyncio.sleep(FIRST_RETRY * (0.5 + 0.5 * self.random_state.random()))
             return
         own = self.membership.own
-        self.catalogue.trouble_at = self.now()
+        self.catalogue.store_trouble_at = self.now()
         if own.reads_store:
             own.reads_store = False
             own.watches_store = False
@@ -285,10 +285,10 @@
         An answer that is arriving is never given up for another one, which would begin
         with its first byte; if it takes too long, another source is asked beside.
         """
-        self.catalogue.settle()
+        self.catalogue.expire_suspects()
         now = self.now()
         if any(not m.reads_store for m in self.membership.alive()):
-            self.catalogue.trouble_at = now
+            self.catalogue.store_trouble_at = now
         self._note_lag(now)
         progress = self._progress()
         if self._is_rereading and self.catalogue.position < 0:
@@ -307,17 +307,17 @@
         asked = self._hedged_read.asked
         if len(asked) > 1 or now < self._second_at + SECOND_INTERVAL:
             return
-        if not self._timeout.is_slow(progress, self.membership.own.link, now):
+        if not self._timeout.is_slow(progress, self.membership.own.link_mbps, now):
             return
         self._second_at = now
-        if self._following is not None:
-            self._selector.avoid(self._following)
+        if self._source_name is not None:
+            self._selector.avoid(self._source_name)
         name = self._selector.peer()
         if name in asked:
             return
         self.log.event(
             "source-slow",
-            source=self._following or "store",
+            source=self._source_name or "store",
             received=progress.received,
             size=progress.size,
             second=name or "store",
@@ -325,11 +325,13 @@
         self._hedged_read.put_to(name, self._source(name))
 
     def _check_place(self):
-        if self._following is not None and not self._selector.is_good(self._following):
+        if self._source_name is not None and not self._selector.is_good(
+            self._source_name
+        ):
             self._leave_source("it is no source any more")
-        elif self._selector.is_misplaced(self._following):
+        elif self._selector.is_misplaced(self._source_name):
             self._turn_away()
-        elif self._following is None and self._asked_at < math.inf:
+        elif self._source_name is None and self._asked_at < math.inf:
             # A watch that this process began for itself may serve the others too.
             self.membership.own.watches_store = self._selector.should_watch()
 
@@ -346,7 +348,7 @@
 
         A process in between has nothing to pass on until its own answer is whole.
         """
-        name = self._following
+        name = self._source_name
         if name is None:
             return True
         known = (m.revision for m in self.membership.alive() if m.name == name)
@@ -358,7 +360,7 @@
         self.membership.board.behind = lag > 0
 
     def _leave_source(self, reason):
-        name = self._following
+        name = self._source_name
         self.log.event(
             "source-left",
             source=name or "store",
--- a/boragegw/gateway/_membership.py
+++ b/boragegw/gateway/_membership.py
@@ -8,7 +8,7 @@
 from boragegw.gateway import _peer_messages
 
 #: Seconds between heartbeats.
-INTERVAL = 0.5
+HEARTBEAT_INTERVAL_SECONDS = 0.5
 #: Seconds without news after which a process counts as gone. Three heartbeats may be
 #: lost in a row on a link that loses 3% of its packets once in 37,000 times.
 SILENCE = 2.0
@@ -106,7 +106,7 @@
         self._transport = transport
 
     def tick(self):
-        """Send a heartbeat; call this each :data:`INTERVAL`."""
+        """Send a heartbeat; call this each :data:`HEARTBEAT_INTERVAL_SECONDS`."""
         self.own.beat += 1
         self._note_silence()
         introduction = self._heartbeat(MUCH_NEWS)
@@ -121,13 +121,13 @@
         self.own.beat += 1
         beat = self._heartbeat(NEWS)
         for member in self.alive():
-            self._send(_pair(member.peer), beat)
+            self._send(_pair(member.peer_address), beat)
 
-    def spread_crash(self, fingerprint):
+    def broadcast_crash(self, fingerprint):
         """Tell all in sight that a request has crashed a backend server."""
         datagram = self._encode(_peer_messages.CrashNotice(fingerprint))
         for member in self.alive():
-            self._send(_pair(member.peer), datagram)
+            self._send(_pair(member.peer_address), datagram)
 
     def _fresh(self):
         oldest = self.now() - self._silence
@@ -147,7 +147,7 @@
             return set()
         fresh = self._fresh()
         newcomers = self._newcomers(fresh)
-        return {_pair(k.member.peer) for k in fresh if k not in newcomers}
+        return {_pair(k.member.peer_address) for k in fresh if k not in newcomers}
 
     def _pulses(self):
         """Return own news, and with a large fleet those of some others.
@@ -185,12 +185,12 @@
             alive = self.random_state.sample(alive, FANOUT)
         elif crowd:
             alive = self._near_and_some_away(alive)
-        targets = {_pair(member.peer) for member in alive}
+        targets = {_pair(member.peer_address) for member in alive}
         # Seeds are tried for ever: after a partition in which both sides have
         # forgotten each other, only they join the two again.
         if not crowd or self.own.beat % CROWD_SEEDS_EVERY == 0:
             targets.update(self.seeds())
-        targets.discard(_pair(self.own.peer))
+        targets.discard(_pair(self.own.peer_address))
         return targets
 
     def _near_and_some_away(self, members):
@@ -234,7 +234,7 @@
         for news in message.news:
             self._take(news.member, self.now() - max(0.0, news.age), direct=False)
         if message.wants_answer:
-            self._send(_pair(message.sender.peer), self._heartbeat(MUCH_NEWS))
+            self._send(_pair(message.sender.peer_address), self._heartbeat(MUCH_NEWS))
         self._changed()
 
     def _take_pulse(self, pulse):
@@ -283,7 +283,11 @@
             same = known.member.incarnation == member.incarnation
             if same and member.beat <= known.member.beat:
                 return
-            if not same and not direct and heard_at <= known.heard_at + INTERVAL:
+            if (
+                not same
+                and not direct
+                and heard_at <= known.heard_at + HEARTBEAT_INTERVAL_SECONDS
+            ):
                 return
         if known is None or known.member.incarnation != member.incarnation:
             self.log.event("peer-seen", peer=member.name, life=member.life)
--- a/boragegw/gateway/_peer_messages.py
+++ b/boragegw/gateway/_peer_messages.py
@@ -22,12 +22,12 @@
 
     :param incarnation: drawn at its start.
     :param beat: grows with each heartbeat.
-    :param front: address for callers, ``host:port``.
-    :param peer: address for other processes, ``host:port``.
+    :param caller_address: address for callers, ``host:port``.
+    :param peer_address: address for other processes, ``host:port``.
     :param revision: latest revision of the platform's store that it knows.
     :param reads_store: whether the store answers it.
     :param watches_store: whether it watches the store itself.
-    :param link: megabits a second of its machine's link.
+    :param link_mbps: megabits a second of its machine's link.
     :param replica_format: see :data:`REPLICA_FORMAT`; 0 for processes that state none.
     :param retained: digest of the reports that it retains, see
         :mod:`~boragegw.gateway._reconciliation`.
@@ -37,13 +37,13 @@
     incarnation: int
     beat: int
     data_centre: str
-    front: str
-    peer: str
+    caller_address: str
+    peer_address: str
     life: Life = Life.STARTING
     revision: int = 0
     reads_store: bool = True
     watches_store: bool = False
-    link: float = 1000.0
+    link_mbps: float = 1000.0
     replica_format: int = 0
     retained: int = 0
 
--- a/boragegw/gateway/_process.py
+++ b/boragegw/gateway/_process.py
@@ -132,9 +132,9 @@
             incarnation=int.from_bytes(os.urandom(8), "big") >> 1,
             beat=0,
             data_centre=settings.data_centre,
-            front=_joined(settings.front),
-            peer=_joined(settings.peer),
-            link=settings.link,
+            caller_address=_joined(settings.front),
+            peer_address=_joined(settings.peer),
+            link_mbps=settings.link,
             replica_format=_peer_messages.REPLICA_FORMAT,
         )
         self.membership = _membership.Membership(
@@ -157,7 +157,7 @@
         self.directory = _directory.DirectoryPolicy()
         self.catalogue.on_change = self._note_ready
         self.membership.on_crash = self.carrier.sender.observe_crash
-        self.carrier.sender.spread_crash = self.membership.spread_crash
+        self.carrier.sender.spread_crash = self.membership.broadcast_crash
 
     def _make_budget(self):
         settings = self.settings
@@ -235,7 +235,9 @@
         self.membership.tick()
         self._run(self.follower.run())
         self._run(self.reconciler.run())
-        self._run(self._every(_membership.INTERVAL, self.membership.tick))
+        self._run(
+            self._every(_membership.HEARTBEAT_INTERVAL_SECONDS, self.membership.tick)
+        )
         self._run(self._every(CHECK_INTERVAL, self.follower.check))
         self._run(self._every(SWEEP_INTERVAL, self.asker.sweep))
 
@@ -275,7 +277,7 @@
         """Return the addresses that a caller in ``data_centre`` is told to use."""
         members = self.membership.ready()
         chosen = self.directory.choose(members, data_centre, self.random_state)
-        return [member.front for member in chosen]
+        return [member.caller_address for member in chosen]
 
     async def stop(self):
         """Stop as planned: cut off nobody.
--- a/boragegw/gateway/_reconciliation.py
+++ b/boragegw/gateway/_reconciliation.py
@@ -78,7 +78,7 @@
         return self.random_state.choice(near or members) if members else None
 
     async def _ask(self, member):
-        source = self.peer_source(member.peer)
+        source = self.peer_source(member.peer_address)
         try:
             reading = await source.read_retained()
         except _sources.SourceError as error:
@@ -87,7 +87,7 @@
             return
         finally:
             source.close()
-        taken = self.catalogue.adopt_retained(reading.records)
+        taken = self.catalogue.apply_retained(reading.records)
         self._asked.add(member.retained, True)
         self.log.event(
             "reconciled", peer=member.name, told=len(reading.records), taken=taken
--- a/boragegw/gateway/_replication_tree.py
+++ b/boragegw/gateway/_replication_tree.py
@@ -11,9 +11,9 @@
 
 #: Megabits a second of a source's link for each process that follows it: 24 KB, about a
 #: thousand routes compressed, then reach all of them within 50 ms.
-LINK_PER_FOLLOWER = 4.0
+LINK_MBPS_PER_FOLLOWER = 4.0
 #: Followers of a source on a slow link.
-LEAST_FOLLOWERS = 2
+MIN_FOLLOWERS = 2
 
 
 def is_root(member):
@@ -40,21 +40,21 @@
     index = next(i for i, member in enumerate(order) if member is own)
     reached = sum(1 for member in order if is_root(member))
     for candidate in order[:index] if reached else ():
-        reached += followers_of(candidate)
+        reached += max_followers(candidate)
         if index < reached:
             return candidate
     return None
 
 
-def followers_of(member):
+def max_followers(member):
     """Return how many followers a process on its link should have at most."""
-    return max(LEAST_FOLLOWERS, int(member.link / LINK_PER_FOLLOWER))
+    return max(MIN_FOLLOWERS, int(member.link_mbps / LINK_MBPS_PER_FOLLOWER))
 
 
 def _ordered(members):
     key = members[0].data_centre
     ranked = utils.rank(key, members, identity=lambda member: member.name)
-    return sorted(ranked, key=lambda member: (not is_root(member), -member.link))
+    return sorted(ranked, key=lambda member: (not is_root(member), -member.link_mbps))
 
 
 def _without_store(member):
--- a/boragegw/gateway/_server_registry.py
+++ b/boragegw/gateway/_server_registry.py
@@ -10,7 +10,7 @@
     :param on_addresses_gone: called with addresses that are no longer listed.
     :param on_joined: called with each :class:`~boragegw.balancing.Server` that is
         listed after the first reading.
-    :ivar trouble_at: monotonic seconds at which the store had trouble last.
+    :ivar store_trouble_at: monotonic seconds at which the store had trouble last.
     """
 
     def __init__(self, board, *, now, log, on_addresses_gone, on_joined):
@@ -19,7 +19,7 @@
         self.log = log
         self.on_addresses_gone = on_addresses_gone
         self.on_joined = on_joined
-        self.trouble_at = float("-inf")
+        self.store_trouble_at = float("-inf")
         self._reports = _reports.LatestReports()
         self._doubted = {}
 
@@ -57,13 +57,13 @@
         if server is None or key in self._doubted:
             return
         now = self.now()
-        if now - self.trouble_at < _sources.TROUBLE_MEMORY:
-            self._doubted[key] = now + _sources.LAPSE_GRACE
+        if now - self.store_trouble_at < _sources.STORE_TROUBLE_SECONDS:
+            self._doubted[key] = now + _sources.SUSPECT_GRACE_SECONDS
             self.log.event("server-doubted", server=server.identity)
             return
         self._drop(key)
 
-    def settle(self):
+    def expire_suspects(self):
         """Drop the servers that stayed away after trouble with the store."""
         now = self.now()
         overdue = [key for key, until in self._doubted.items() if until <= now]
--- a/boragegw/gateway/_source_selection.py
+++ b/boragegw/gateway/_source_selection.py
@@ -167,5 +167,5 @@
     Guards against a watcher on a slow link: on one of 5 Mbit/s the first reading of 276
     servers by the others took seconds, and they all read the store in its place.
     """
-    fastest = max(member.link for member in members)
-    return [member.name for member in members if member.link == fastest]
+    fastest = max(member.link_mbps for member in members)
+    return [member.name for member in members if member.link_mbps == fastest]
--- a/boragegw/gateway/_sources.py
+++ b/boragegw/gateway/_sources.py
@@ -6,11 +6,11 @@
 #: Seconds for which a server that disappears is kept while the platform's store has
 #: just had trouble. Entries that lapsed meanwhile are back within about two seconds;
 #: a server that is truly gone may get work for two seconds at most.
-LAPSE_GRACE = 1.9
+SUSPECT_GRACE_SECONDS = 1.9
 #: Seconds after trouble with the store for which disappearances are doubted.
-TROUBLE_MEMORY = 3.0
+STORE_TROUBLE_SECONDS = 3.0
 #: Seconds over which a rate is taken at least.
-LEAST_SPAN = 0.001
+MIN_RATE_SPAN_SECONDS = 0.001
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
 
     def rate(self, now):
         """Return the bytes a second so far."""
-        return self.received / max(now - self.began, LEAST_SPAN)
+        return self.received / max(now - self.began, MIN_RATE_SPAN_SECONDS)
 
     def seconds_left(self, now):
         """Return the seconds until it is whole if it goes on as it did."""
@@ -139,13 +139,13 @@
     """Reads the platform's records into the product's types."""
 
     @abc.abstractmethod
-    def listing(self, record):
+    def decode_server(self, record):
         """Return the :class:`~boragegw.balancing.Listing` in a record, or ``None``."""
 
     @abc.abstractmethod
-    def configuration(self, record):
+    def decode_configuration(self, record):
         """Return the :class:`~boragegw.balancing.Configuration`, or ``None``."""
 
     @abc.abstractmethod
-    def evacuated(self, record):
+    def decode_evacuation(self, record):
         """Return the data centre that the record takes out, or ``None``."""
--- a/boragegw/gateway/tests/test_catalogue.py
+++ b/boragegw/gateway/tests/test_catalogue.py
@@ -8,17 +8,17 @@
 class Decoder(gateway.Decoder):
     """Knows no kind of record."""
 
-    def listing(self, record):
+    def decode_server(self, record):
         return None
 
-    def configuration(self, record):
+    def decode_configuration(self, record):
         return None
 
-    def evacuated(self, record):
+    def decode_evacuation(self, record):
         return None
 
 
-class Lines:
+class EventRecorder:
     """Keeps the kinds of events."""
 
     def __init__(self):
@@ -33,13 +33,13 @@
         gateway.Board(),
         decoder or Decoder(),
         now=lambda: 0.0,
-        log=Lines(),
+        log=EventRecorder(),
         on_addresses_gone=lambda addresses: None,
         on_joined=lambda server: None,
     )
 
 
-def reading(position, **revisions):
+def read_result(position, **revisions):
     """Return a reading of records by key and revision; a negative one is deleted."""
     records = [
         gateway.Record(key, b"" if revision > 0 else None, abs(revision))
@@ -48,7 +48,7 @@
     return gateway.ReadResult(records, position)
 
 
-def told(source, after):
+def changes_by_key(source, after):
     """Return what a follower at the position ``after`` is told, by key."""
     changes = source.changes(after)
     return {r.key: r.revision if r.value is not None else None for r in changes.records}
@@ -56,65 +56,65 @@
 
 def test_followers_need_not_read_anew_because_their_source_has():
     source = catalogue()
-    source.adopt_snapshot(reading(10, a=1, b=2, c=3))
-    source.adopt_snapshot(reading(20, a=1, b=12, d=15))
-    assert told(source, 10) == {"b": 12, "c": None, "d": 15}
-    assert told(source, 13) == {"c": None, "d": 15}
-    assert told(source, 20) == {}
+    source.apply_snapshot(read_result(10, a=1, b=2, c=3))
+    source.apply_snapshot(read_result(20, a=1, b=12, d=15))
+    assert changes_by_key(source, 10) == {"b": 12, "c": None, "d": 15}
+    assert changes_by_key(source, 13) == {"c": None, "d": 15}
+    assert changes_by_key(source, 20) == {}
 
 
 def test_followers_read_anew_where_their_source_had_missed_a_change():
     """They have passed the position of the change, and no later one tells it."""
     source = catalogue()
-    source.adopt_snapshot(reading(10, a=1, b=2))
-    source.adopt_changes(reading(20))
-    source.adopt_snapshot(reading(25, a=15, b=2))
+    source.apply_snapshot(read_result(10, a=1, b=2))
+    source.apply_changes(read_result(20))
+    source.apply_snapshot(read_result(25, a=15, b=2))
     with pytest.raises(gateway.HistoryLostError):
         source.changes(20)
     assert source.log.kinds == ["changes-missed"]
-    assert told(source, 25) == {}
+    assert changes_by_key(source, 25) == {}
 
 
 def test_followers_read_anew_where_their_source_had_missed_a_deletion():
     source = catalogue()
-    source.adopt_snapshot(reading(10, a=1, b=2))
-    source.adopt_changes(reading(20))
-    source.adopt_snapshot(reading(20, a=1))
+    source.apply_snapshot(read_result(10, a=1, b=2))
+    source.apply_changes(read_result(20))
+    source.apply_snapshot(read_result(20, a=1))
     with pytest.raises(gateway.HistoryLostError):
         source.changes(15)
 
 
 def test_position_before_the_first_reading_is_not_known():
     source = catalogue()
-    source.adopt_snapshot(reading(10, a=1))
+    source.apply_snapshot(read_result(10, a=1))
     with pytest.raises(gateway.HistoryLostError):
         source.changes(9)
 
 
 def test_record_that_changes_often_is_told_once():
     source = catalogue()
-    source.adopt_snapshot(reading(1, a=1))
+    source.apply_snapshot(read_result(1, a=1))
     for revision in range(2, 5000):
-        source.adopt_changes(reading(revision, a=revision))
-    assert told(source, 1) == {"a": 4999}
+        source.apply_changes(read_result(revision, a=revision))
+    assert changes_by_key(source, 1) == {"a": 4999}
 
 
 def test_deletions_are_told_as_long_as_they_are_kept():
     source = catalogue()
-    source.adopt_snapshot(reading(1, a=1))
-    source.adopt_changes(reading(3, a=-2, b=3))
-    source.adopt_changes(reading(4, b=-4))
-    assert told(source, 1) == {"a": None, "b": None}
+    source.apply_snapshot(read_result(1, a=1))
+    source.apply_changes(read_result(3, a=-2, b=3))
+    source.apply_changes(read_result(4, b=-4))
+    assert changes_by_key(source, 1) == {"a": None, "b": None}
     for number in range(5, 3000):
-        source.adopt_changes(reading(number, **{f"k{number}": -number}))
+        source.apply_changes(read_result(number, **{f"k{number}": -number}))
     with pytest.raises(gateway.HistoryLostError):
         source.changes(1)
-    assert told(source, 2998) == {"k2999": None}
+    assert changes_by_key(source, 2998) == {"k2999": None}
 
 
 def test_key_that_is_put_again_is_no_longer_told_as_deleted():
     source = catalogue()
-    source.adopt_snapshot(reading(1, a=1))
-    source.adopt_changes(reading(3, a=-2))
-    source.adopt_changes(reading(4, a=4))
-    assert told(source, 1) == {"a": 4}
+    source.apply_snapshot(read_result(1, a=1))
+    source.apply_changes(read_result(3, a=-2))
+    source.apply_changes(read_result(4, a=4))
+    assert changes_by_key(source, 1) == {"a": 4}
--- a/boragegw/gateway/tests/test_membership.py
+++ b/boragegw/gateway/tests/test_membership.py
@@ -26,8 +26,8 @@
             incarnation=(incarnation << 60) + int(name[1:]),
             beat=0,
             data_centre=data_centre,
-            front=f"{name}:1",
-            peer=f"{name}:2",
+            caller_address=f"{name}:1",
+            peer_address=f"{name}:2",
             life=gateway.Life.READY,
         )
         process = gateway.Membership(
@@ -55,8 +55,8 @@
         self.apart = name
 
     def run(self, seconds):
-        for _ in range(round(seconds / _membership.INTERVAL)):
-            self.now += _membership.INTERVAL
+        for _ in range(round(seconds / _membership.HEARTBEAT_INTERVAL_SECONDS)):
+            self.now += _membership.HEARTBEAT_INTERVAL_SECONDS
             for process in list(self.processes.values()):
                 process.tick()
             self.deliver()
--- a/boragegw/gateway/tests/test_replication.py
+++ b/boragegw/gateway/tests/test_replication.py
@@ -16,7 +16,7 @@
 #: Bytes of a large record.
 SIZE = 300_000
 #: Bytes that control may cost a process in a second, the users' bound.
-CONTROL_BYTES = 14_000
+CONTROL_BYTES_PER_SECOND = 14_000
 
 
 def large(seed=1):
@@ -44,14 +44,14 @@
         """Let both know ``value`` at revision 1."""
         endpoint = gateway.Endpoint(self.server.answer, now=self.loop.time)
         await endpoint.listen(SERVER)
-        self.source.adopt_snapshot(snapshot(value, 1))
-        self.follower.adopt_snapshot(await self.client.read_all())
+        self.source.apply_snapshot(snapshot(value, 1))
+        self.follower.apply_snapshot(await self.client.read_all())
         return self
 
     async def follow(self):
         """Adopt what the source tells next."""
         reading = await self.client.watch(self.follower.position, 1.0)
-        self.follower.adopt_changes(reading)
+        self.follower.apply_changes(reading)
 
 
 @in_memory
@@ -66,10 +66,10 @@
     pair = await Pair().start(large())
     before = pair.counters["sources.bytes"]
     changed = large()[:1000] + b"x" + large()[1001:]
-    pair.source.adopt_changes(snapshot(changed, 2))
+    pair.source.apply_changes(snapshot(changed, 2))
     await pair.follow()
     assert pair.follower.record(KEY).value == changed
-    assert pair.counters["sources.bytes"] - before < CONTROL_BYTES
+    assert pair.counters["sources.bytes"] - before < CONTROL_BYTES_PER_SECOND
 
 
 @in_memory
@@ -77,7 +77,7 @@
     pair = await Pair().start(large())
     for revision in range(2, 5):
         value = large() + b"%d" % revision
-        pair.source.adopt_changes(snapshot(value, revision))
+        pair.source.apply_changes(snapshot(value, revision))
     await pair.follow()
     assert pair.follower.record(KEY).value == large() + b"4"
 
@@ -85,8 +85,8 @@
 @in_memory
 async def test_difference_to_a_version_that_is_not_known_is_not_applied():
     pair = await Pair().start(large())
-    pair.follower.adopt_changes(snapshot(large(2), 2))
-    pair.source.adopt_changes(snapshot(large() + b"x", 3))
+    pair.follower.apply_changes(snapshot(large(2), 2))
+    pair.source.apply_changes(snapshot(large() + b"x", 3))
     with pytest.raises(gateway.HistoryLostError, match="revision 1"):
         await pair.client.watch(1, 1.0)
 
@@ -99,7 +99,7 @@
         _compression, "difference", lambda *pair: calls.append(pair) or made(*pair)
     )
     pair = await Pair().start(large())
-    pair.source.adopt_changes(snapshot(large() + b"x", 2))
+    pair.source.apply_changes(snapshot(large() + b"x", 2))
     await asyncio.gather(*(pair.client.watch(1, 1.0) for _ in range(4)))
     assert len(calls) == 1
 
--- a/boragegw/gateway/tests/test_replication_tree.py
+++ b/boragegw/gateway/tests/test_replication_tree.py
@@ -20,10 +20,10 @@
             incarnation=number,
             beat=0,
             data_centre="dc-a",
-            front="",
-            peer="",
+            caller_address="",
+            peer_address="",
             revision=1,
-            link=links[0] if number == 0 else random_state.choice(links),
+            link_mbps=links[0] if number == 0 else random_state.choice(links),
         )
         for number in range(size)
     ]
@@ -58,7 +58,7 @@
     found = sources(members)
     counts = collections.Counter(source.name for source in found.values())
     for member in members:
-        assert counts[member.name] <= _replication_tree.followers_of(member)
+        assert counts[member.name] <= _replication_tree.max_followers(member)
     assert all(steps(name, found) <= 11 for name in found)
 
 
--- a/boragegw/platform/_documents.py
+++ b/boragegw/platform/_documents.py
@@ -27,7 +27,7 @@
         self._configuration = msgspec.json.Decoder(_records.WireConfiguration)
         self._parts = _records.PartReader(log)
 
-    def listing(self, record):
+    def decode_server(self, record):
         """Return the backend server in a record, or ``None``."""
         if not record.key.startswith(_names.SERVERS_PREFIX):
             return None
@@ -38,7 +38,7 @@
             self.log.event("foreign-entry", key=record.key, reason=str(error))
             return None
 
-    def configuration(self, record):
+    def decode_configuration(self, record):
         """Return the configuration in a record, or ``None``."""
         if record.key != _names.CONFIGURATION_KEY:
             return None
@@ -48,7 +48,7 @@
             self.log.event("invalid-configuration", reason=str(error))
             return None
 
-    def evacuated(self, record):
+    def decode_evacuation(self, record):
         """Return the data centre that the record takes out, or ``None``."""
         if not record.key.startswith(_names.EVACUATION_PREFIX):
             return None
--- a/boragegw/platform/tests/test_delayed_reports.py
+++ b/boragegw/platform/tests/test_delayed_reports.py
@@ -42,7 +42,7 @@
         """Let the entry be away for a while."""
         if in_trouble:
             for process in self.world.processes.values():
-                process.catalogue.trouble_at = self.world.loop.time()
+                process.catalogue.store_trouble_at = self.world.loop.time()
         self.world.store.delete(KEY)
         await asyncio.sleep(seconds)
 
@@ -184,14 +184,14 @@
 def test_leaving_that_another_process_tells_of_a_missing_server_counts(in_trouble):
     """Its entry was away here; what was told then was lost to the older report."""
     source = test_catalogue.catalogue(
-        _documents.DocumentDecoder(test_catalogue.Lines())
+        _documents.DocumentDecoder(test_catalogue.EventRecorder())
     )
-    source.adopt_snapshot(gateway.ReadResult([record(7, "ready", 1)], 1))
+    source.apply_snapshot(gateway.ReadResult([record(7, "ready", 1)], 1))
     if in_trouble:
-        source.trouble_at = source.now()
-    source.adopt_changes(gateway.ReadResult([gateway.Record(KEY, None, 2)], 2))
+        source.store_trouble_at = source.now()
+    source.apply_changes(gateway.ReadResult([gateway.Record(KEY, None, 2)], 2))
     assert (KEY in source.board.servers) == in_trouble
-    assert source.adopt_retained([record(9, "draining", 3, retained=True)]) == 1
-    source.adopt_changes(gateway.ReadResult([record(8, "ready", 3)], 3))
+    assert source.apply_retained([record(9, "draining", 3, retained=True)]) == 1
+    source.apply_changes(gateway.ReadResult([record(8, "ready", 3)], 3))
     assert source.board.servers[KEY].listing.draining
     assert [r.retained for r in source.snapshot().records] == [True]
--- a/boragegw/platform/tests/test_documents.py
+++ b/boragegw/platform/tests/test_documents.py
@@ -67,7 +67,7 @@
     decoder = _documents.DocumentDecoder(notes)
     value = json.dumps(document).encode()
     record = gateway.Record("op/config", value, 1)
-    return decoder.configuration(record), notes.kinds
+    return decoder.decode_configuration(record), notes.kinds
 
 
 def route_of(configuration, number):
--- a/boragegw/platform/tests/test_slow_sources.py
+++ b/boragegw/platform/tests/test_slow_sources.py
@@ -105,7 +105,7 @@
     recorded(process, events)
     await asyncio.sleep(2.0)
     for _ in range(1100):
-        await process.follower._pause_if_lost_again()
+        await process.follower._back_off_after_lost_history()
 
 
 @in_memory
@@ -136,12 +136,12 @@
     before = pair.counters["sources.bytes"]
     later = test_replication.large() + b"x"
     record = gateway.Record(test_replication.KEY, later, 9)
-    pair.source.adopt_snapshot(gateway.ReadResult([record], 8))
-    pair.source.adopt_changes(gateway.ReadResult([record], 9))
+    pair.source.apply_snapshot(gateway.ReadResult([record], 8))
+    pair.source.apply_changes(gateway.ReadResult([record], 9))
     await pair.follow()
     assert pair.follower.record(test_replication.KEY).value == later
     used = pair.counters["sources.bytes"] - before
-    assert used < test_replication.CONTROL_BYTES
+    assert used < test_replication.CONTROL_BYTES_PER_SECOND
 
 
 @in_memory
@@ -215,7 +215,7 @@
     installation.store.put("servers/i-0", leaving.entry("app", state="draining", seq=9))
     await asyncio.sleep(1.0)
     for process in installation.processes.values():
-        process.catalogue.trouble_at = installation.loop.time()
+        process.catalogue.store_trouble_at = installation.loop.time()
     installation.store.delete("servers/i-0")
     await asyncio.sleep(0.6)
     installation.store.put("servers/i-0", leaving.entry("app", seq=8))
@@ -232,9 +232,9 @@
 def test_key_deleted_between_two_pages_is_no_missed_change():
     """The reading's position is the first page's; the deletion comes after it."""
     source = test_catalogue.catalogue()
-    source.adopt_snapshot(test_catalogue.reading(10, a=1, b=2))
-    source.adopt_snapshot(test_catalogue.reading(10, a=1))  # b deleted at 11
-    source.adopt_changes(test_catalogue.reading(11, b=-11))
+    source.apply_snapshot(test_catalogue.read_result(10, a=1, b=2))
+    source.apply_snapshot(test_catalogue.read_result(10, a=1))  # b deleted at 11
+    source.apply_changes(test_catalogue.read_result(11, b=-11))
     try:
         source.changes(10, 0)
     except gateway.HistoryLostError:
@@ -245,10 +245,10 @@
 async def test_follower_that_comes_back_to_a_source_need_not_read_all_anew():
     """It was told under the present number; another object for the address forgot."""
     pair = await test_replication.Pair().start(test_replication.large())
-    pair.source.adopt_changes(gateway.ReadResult([], 5))
+    pair.source.apply_changes(gateway.ReadResult([], 5))
     missed = gateway.Record(test_replication.KEY, test_replication.large(2), 4)
-    pair.source.adopt_snapshot(gateway.ReadResult([missed], 5))
-    pair.follower.adopt_snapshot(await pair.client.read_all())
+    pair.source.apply_snapshot(gateway.ReadResult([missed], 5))
+    pair.follower.apply_snapshot(await pair.client.read_all())
     await pair.follow()
     again = gateway.PeerSource(
         test_replication.SERVER,
--- a/boragegw/platform/tests/test_sources.py
+++ b/boragegw/platform/tests/test_sources.py
@@ -48,7 +48,7 @@
 async def test_follower_of_a_source_read_in_pages_does_not_ask_without_end():
     """Pages are no snapshot: a record may be later than the reading's position."""
     pair = await test_replication.Pair().start(b"first")
-    pair.source.adopt_snapshot(read_in_pages(9, 8))
+    pair.source.apply_snapshot(read_in_pages(9, 8))
     end = pair.loop.time() + 1.0
     calls = 0
     while pair.loop.time() < end:
@@ -61,7 +61,7 @@
 async def test_large_record_later_than_the_reading_does_not_lose_the_history():
     pair = await test_replication.Pair().start(test_replication.large())
     later = test_replication.large() + b"x"
-    pair.source.adopt_snapshot(read_in_pages(9, 8, later))
+    pair.source.apply_snapshot(read_in_pages(9, 8, later))
     await pair.follow()
     await pair.follow()  # raises HistoryLostError: a full reading each time
 
@@ -119,10 +119,10 @@
         ],
         5,
     )
-    pair.source.adopt_snapshot(reading)
+    pair.source.apply_snapshot(reading)
     await pair.client.read_all()
     missed = gateway.ReadResult([gateway.Record(test_replication.KEY, b"other", 4)], 5)
-    pair.source.adopt_snapshot(missed)
+    pair.source.apply_snapshot(missed)
     found = await pair.client.read_all()
     assert {r.key: r.value for r in found.records} == {test_replication.KEY: b"other"}
 
@@ -130,10 +130,10 @@
 @in_memory
 async def test_missed_change_sends_followers_to_read_anew_also_if_asked_before():
     pair = await test_replication.Pair().start(b"first")
-    pair.source.adopt_changes(gateway.ReadResult([], 5))
+    pair.source.apply_changes(gateway.ReadResult([], 5))
     await pair.client.watch(3, 0.0)
     missed = gateway.ReadResult([gateway.Record(test_replication.KEY, b"other", 4)], 5)
-    pair.source.adopt_snapshot(missed)
+    pair.source.apply_snapshot(missed)
     with pytest.raises(gateway.HistoryLostError):
         await pair.client.watch(3, 0.0)
 
@@ -142,15 +142,15 @@
 async def test_missed_change_reaches_followers_that_share_the_position():
     """They are at the position of the reading, and not before it."""
     pair = await test_replication.Pair().start(b"first")
-    pair.source.adopt_changes(gateway.ReadResult([], 5))
+    pair.source.apply_changes(gateway.ReadResult([], 5))
     await pair.follow()
     assert pair.follower.position == 5
     missed = gateway.ReadResult([gateway.Record(test_replication.KEY, b"other", 4)], 5)
-    pair.source.adopt_snapshot(missed)
+    pair.source.apply_snapshot(missed)
     try:
         await pair.follow()
     except gateway.HistoryLostError:
-        pair.follower.adopt_snapshot(await pair.client.read_all())
+        pair.follower.apply_snapshot(await pair.client.read_all())
     assert pair.follower.record(test_replication.KEY).value == b"other"
 
 
@@ -185,7 +185,7 @@
     watching = [
         name
         for name, process in installation.processes.items()
-        if name != root and process.follower._following is None
+        if name != root and process.follower._source_name is None
     ]
     assert len(watching) == 1, watching
 
@@ -337,8 +337,8 @@
 def test_prepared_answers_are_kept_while_as_many_ask_as_are_kept(monkeypatch):
     made = []
     source = test_catalogue.catalogue()
-    source.adopt_snapshot(gateway.ReadResult([gateway.Record("a", b"{}", 1)], 1))
-    source.adopt_changes(gateway.ReadResult([], 100))
+    source.apply_snapshot(gateway.ReadResult([gateway.Record("a", b"{}", 1)], 1))
+    source.apply_changes(gateway.ReadResult([], 100))
     server = gateway.ReplicaServer(source, now=lambda: 0.0)
     make = server._make
     monkeypatch.setattr(server, "_make", lambda *a: made.append(a) or make(*a))
