--- a/boragegw/gateway/_catalogue.py
+++ b/boragegw/gateway/_catalogue.py
@@ -1,4 +1,7 @@
-"""Adopts published records: servers, configuration, evacuations; never goes back."""
+"""Replica of the published records: servers, configuration and evacuations.
+
+A record or a position is never replaced by an older one.
+"""
 
 import asyncio
 import dataclasses
@@ -18,12 +21,13 @@
 
 
 class Catalogue:
-    """Holds the records and writes what they mean to the board.
+    """Stores the records and publishes their decoded content on the board.
 
     :param decoder: a :class:`Decoder`.
     :param on_addresses_gone: see :class:`ServerRegistry`.
-    :param on_joined: the same.
-    :ivar generation: grows with each reading that is adopted.
+    :param on_joined: see :class:`ServerRegistry`.
+    :ivar on_change: called after records have changed.
+    :ivar generation: counter that grows with each read that is applied.
     """
 
     def __init__(self, board, decoder, *, now, log, on_addresses_gone, on_joined):
@@ -47,40 +51,40 @@
         )
         self._revision = 0
         self._position = -1
-        self._waiting = set()
+        self._waiters = set()
 
     @property
     def position(self):
-        """Revision up to which everything is known; -1 before the first read."""
+        """Revision up to which all changes are known; -1 before the first read."""
         return self._position
 
     @property
     def revision(self):
-        """Greatest revision up to the position at which a record is known to change."""
+        """Revision of the latest known change, at most the position."""
         if self._revision <= self._position:
             return self._revision
         return max((r.revision for r in self._changed_after(0)), default=0)
 
     @property
     def store_trouble_at(self):
-        """Monotonic seconds at which the store had trouble last."""
+        """Monotonic seconds of the last sign of a failure of the store."""
         return self._registry.store_trouble_at
 
     @store_trouble_at.setter
-    def store_trouble_at(self, moment):
-        self._registry.store_trouble_at = moment
+    def store_trouble_at(self, seconds):
+        self._registry.store_trouble_at = seconds
 
     @property
     def misses(self):
-        """Times that changes were found which no watch had told."""
+        """Number of times that changes were found which no watch had reported."""
         return self._history.misses
 
     @property
     def retained(self):
-        """Records of which the store holds an older form."""
+        """Records of which the store holds an older value."""
         return self._retained.values()
 
-    # What other processes read.
+    # Reads by other processes.
 
     def snapshot(self):
         """Return a :class:`ReadResult` of all records."""
@@ -90,19 +94,20 @@
     def changes(self, after, misses=None):
         """Return a :class:`ReadResult` of the changes after ``after``.
 
-        :param misses: value of :attr:`misses` when the follower was last told; it has
-            been told all that this process knows if it is the same.
-        :raises HistoryLostError: if they are no longer known.
+        :param misses: value of :attr:`misses` at the follower's last read. If it is
+            unchanged, the follower has received all changes that this process knows.
+        :raises HistoryLostError: if the changes are no longer available.
         """
-        self._history.check(after, misses)
+        self._history.check_available(after, misses)
         records = sorted(self._changed_after(after), key=lambda r: r.revision)
         return _sources.ReadResult(records, self._position)
 
     def _changed_after(self, after):
-        """Yield what has changed after ``after``, up to the position.
+        """Yield the records that changed after ``after``, up to the position.
 
-        A full reading in pages also shows later changes. They are told once all others
-        before them are known: who knows the later one would never ask for those.
+        A full read in pages also returns later changes. These are held back until all
+        changes before them are known: a follower that has a later change would never
+        ask for the earlier ones.
         """
         known = itertools.chain(self._records.values(), self._history.deletions)
         return (r for r in known if after < r.revision <= self._position)
@@ -112,105 +117,105 @@
         return self._records.get(key)
 
     def previous(self, record):
-        """Return the one before a large ``record``, or ``None`` if it is not kept."""
+        """Return the version before a large ``record``, ``None`` if it is not kept."""
         return self._previous.get(record.key)
 
     def miss_count(self, address):
         """Return the :class:`MissCount` of the process at ``address``, or ``None``."""
         return self._miss_counts.get(address)
 
-    def _note_miss_count(self, miss_count):
+    def _store_miss_count(self, miss_count):
         if miss_count is not None:
             self._miss_counts.add(miss_count.address, miss_count)
 
     async def wait_for_change(self, timeout):
         """Wait until a record has changed, or ``timeout`` seconds have passed."""
         changed = asyncio.get_running_loop().create_future()
-        self._waiting.add(changed)
+        self._waiters.add(changed)
         try:
             await asyncio.wait((changed,), timeout=timeout)
         finally:
-            self._waiting.discard(changed)
+            self._waiters.discard(changed)
 
-    # Adoption.
+    # Application of reads.
 
-    def apply_snapshot(self, reading):
-        """Replace all records by a full reading, unless it is older than them."""
-        if reading.position < self._position:
+    def apply_snapshot(self, result):
+        """Replace all records by a full read; return ``False`` if it is older."""
+        if result.position < self._position:
             self.log.event(
-                "stale-reading", position=reading.position, known=self._position
+                "stale-reading", position=result.position, known=self._position
             )
             return False
-        changed, deleted = self._differences(reading)
-        self._history.judge_snapshot(reading, changed, deleted, self._position)
+        changed, deleted = self._differences(result)
+        self._history.check_snapshot(result, changed, deleted, self._position)
         before = {record.key: self._records.get(record.key) for record in changed}
         for record in itertools.chain(deleted, changed):
             self._apply(record)
         self._keep_previous(before)
-        self._position = reading.position
+        self._position = result.position
         self.generation += 1
-        self._note_miss_count(reading.miss_count)
-        self._take_retained(record for record in reading.records if record.retained)
-        self._finish()
+        self._store_miss_count(result.miss_count)
+        self._merge_retained(record for record in result.records if record.retained)
+        self._publish()
         return True
 
-    def _differences(self, reading):
-        """Return the records that a full reading changes, and those that it lacks."""
-        fresh = {record.key: record for record in reading.records}
+    def _differences(self, result):
+        """Return the records that a full read changes and those that it deletes."""
+        current = {record.key: record for record in result.records}
         changed = [
             record
-            for key, record in fresh.items()
+            for key, record in current.items()
             if key not in self._records or self._records[key].revision < record.revision
         ]
         deleted = [
-            _sources.Record(key, None, reading.position)
+            _sources.Record(key, None, result.position)
             for key in self._records
-            if key not in fresh
+            if key not in current
         ]
         return changed, deleted
 
-    def apply_changes(self, reading):
-        """Apply the changes of a watch that are newer than what is known."""
-        before = {r.key: self._records.get(r.key) for r in reading.records}
-        missed = self._history.judge_changes(reading, self._position)
-        for record in sorted(reading.records, key=lambda r: r.revision):
+    def apply_changes(self, result):
+        """Apply the changes of a watch that are newer than the known records."""
+        before = {r.key: self._records.get(r.key) for r in result.records}
+        missed = self._history.check_changes(result, self._position)
+        for record in sorted(result.records, key=lambda r: r.revision):
             known = self._records.get(record.key)
             if known is not None and known.revision >= record.revision:
                 continue
             if record.revision <= self._position:
                 continue
             self._apply(record)
-        self._position = max(self._position, reading.position)
+        self._position = max(self._position, result.position)
         self.generation += 1
         self._keep_previous(before)
-        self._note_miss_count(reading.miss_count)
-        if reading.records or missed:
-            self._finish()
+        self._store_miss_count(result.miss_count)
+        if result.records or missed:
+            self._publish()
 
     def apply_retained(self, records):
-        """Take what another process retains; return how many records were newer.
+        """Apply records that another process retains; return how many were newer.
 
         :param records: iterable of :class:`Record`.
         """
-        taken = self._take_retained(records)
-        if taken:
+        merged = self._merge_retained(records)
+        if merged:
             self.generation += 1
-            self._finish()
-        return taken
+            self._publish()
+        return merged
 
-    def _take_retained(self, records):
-        taken = 0
+    def _merge_retained(self, records):
+        merged = 0
         for record in records:
             listing = self.decoder.decode_server(record)
             if listing is None:
                 continue
-            if self._registry.learn(_reports.Report(record, listing)):
-                taken += 1
-                self._retain(record)
-        return taken
+            if self._registry.merge_retained(_reports.Report(record, listing)):
+                merged += 1
+                self._replace_by_retained(record)
+        return merged
 
-    def _retain(self, record):
-        """Keep a newer report in place of what the store holds, if it holds any."""
+    def _replace_by_retained(self, record):
+        """Replace the store's record by a newer report, if the store has one."""
         known = self._records.get(record.key)
         if known is not None and record.key in self.board.servers:
             record = dataclasses.replace(record, revision=known.revision)
@@ -223,7 +228,7 @@
             self._delete(record)
             return
         self._history.remove_deletion(record.key)
-        record = self._put(record)
+        record = self._apply_value(record)
         self._records[record.key] = record
         if record.retained:
             self._retained[record.key] = record
@@ -235,10 +240,10 @@
         self._registry.remove(record.key)
 
     def _keep_previous(self, before):
-        """Keep what a reading has replaced if a difference to it may save much.
+        """Keep the replaced versions of large records as bases of deltas.
 
-        :param before: records by key as they were before the whole reading: followers
-            know none of those in between.
+        :param before: records by key as they were before the read was applied.
+            Followers know none of the versions in between.
         """
         for key, known in before.items():
             record = self._records.get(key)
@@ -250,10 +255,10 @@
                 self._previous[key] = known
 
     def expire_suspects(self):
-        """Drop the servers that stayed away after trouble with the store."""
+        """Remove the servers whose entries did not return after a store failure."""
         self._registry.expire_suspects()
 
-    def _finish(self):
+    def _publish(self):
         evacuated = {self.decoder.decode_evacuation(r) for r in self._records.values()}
         evacuated.discard(None)
         if evacuated != self.board.evacuated:
@@ -261,33 +266,34 @@
                 "evacuations", data_centres=sorted(evacuated), position=self._position
             )
             self.board.evacuated = frozenset(evacuated)
-        self._registry.regroup()
-        for changed in self._waiting:
+        self._registry.group_by_service()
+        for changed in self._waiters:
             if not changed.done():
                 changed.set_result(None)
         if self.on_change is not None:
             self.on_change()
 
-    def _put(self, record):
-        """Take over what a record means; return it, or the newer one that is known.
+    def _apply_value(self, record):
+        """Apply a record's content; return the record, or a newer one that is known.
 
-        What is older is not passed on either: who reads it later would not know better.
+        An older value is not passed on to followers either, since they could not tell
+        that it is outdated.
         """
         started = self.now()
         configuration = self.decoder.decode_configuration(record)
         if configuration is not None:
             seconds = round(self.now() - started, 4)
             known = self._records.get(record.key)
-            if self._adopt_configuration(configuration, record, seconds) or not known:
+            if self._apply_configuration(configuration, record, seconds) or not known:
                 return record
             return dataclasses.replace(known, revision=record.revision)
         listing = self.decoder.decode_server(record)
         if listing is not None:
-            return self._registry.adopt(record, listing, self._position < 0)
+            return self._registry.apply(record, listing, self._position < 0)
         self._registry.remove(record.key)
         return record
 
-    def _adopt_configuration(self, configuration, record, seconds):
+    def _apply_configuration(self, configuration, record, seconds):
         current = self.board.configuration
         if current is not None and configuration.version <= current.version:
             if configuration.version < current.version:
--- a/boragegw/gateway/_reports.py
+++ b/boragegw/gateway/_reports.py
@@ -1,26 +1,27 @@
-"""The newest report of each backend server, also of those that are gone."""
+"""Latest status report of each backend server, including removed ones."""
 
 import dataclasses
 
 from boragegw import balancing, utils
 from boragegw.gateway import _sources
 
-#: Servers that are gone whose last report is kept.
-DEPARTED = 2000
+#: Maximum number of removed servers whose last report is kept.
+MAX_REMOVED_SERVERS = 2000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What a backend server said of itself.
+    """Status report of a backend server.
 
-    :param record: the :class:`~boragegw.gateway.Record` that holds it.
+    :param record: the :class:`~boragegw.gateway.Record` that contains it.
+    :param listing: the decoded content of the record.
     """
 
     record: _sources.Record
     listing: balancing.Listing
 
     def is_newer_than(self, other):
-        """Return whether the server wrote it after ``other``."""
+        """Return whether the server wrote this report after ``other``."""
         return self._order > other._order
 
     @property
@@ -31,26 +32,26 @@
 class LatestReports:
     """Keeps the newest report of each server, whatever the store holds later.
 
-    Guards against a report that was delayed and overwrites a newer one: it would bring
-    a server back that is leaving, or hide that it has started again.
+    Guards against a delayed report that overwrites a newer one in the store. It would
+    make a draining server ready again, or hide that a server has restarted.
     """
 
     def __init__(self):
         self._listed = {}
-        self._departed = utils.Recent(DEPARTED)
+        self._removed = utils.Recent(MAX_REMOVED_SERVERS)
 
     def newest(self, key):
         """Return the newest :class:`Report` of the server ``key``, or ``None``."""
-        return self._listed.get(key) or self._departed.get(key)
+        return self._listed.get(key) or self._removed.get(key)
 
-    def take(self, report):
-        """Return the newest report of a server whose record is ``report.record``.
+    def merge(self, report):
+        """Store a report read from the store, and return the newest one of its server.
 
-        An older one is replaced by the one that is known, under its own revision.
+        If a newer report is known, it is returned with the revision of ``report``.
         """
         key = report.record.key
         known = self._listed.get(key) or self._last_of_same_start(report)
-        self._departed.pop(key, None)
+        self._removed.pop(key, None)
         if known is not None and known.is_newer_than(report):
             kept = dataclasses.replace(
                 known.record, revision=report.record.revision, retained=True
@@ -60,25 +61,26 @@
         return report
 
     def _last_of_same_start(self, report):
-        """Return the last report of a server that is gone, unless it started again.
+        """Return the last report of a removed server, unless the server has restarted.
 
-        The order of two starts rests on the machine's clock, which may be set back.
+        Reports of two starts are not compared: their order depends on the machine's
+        clock, which may be set back.
         """
-        last = self._departed.get(report.record.key)
+        last = self._removed.get(report.record.key)
         if last is None or last.listing.started_ms != report.listing.started_ms:
             return None
         return last
 
-    def depart(self, key):
-        """Note that the server ``key`` is no longer listed."""
+    def mark_removed(self, key):
+        """Record that the server ``key`` is no longer listed."""
         report = self._listed.pop(key, None)
         if report is not None:
-            self.note_departed(report)
+            self.store_removed(report)
 
-    def note_listed(self, report):
-        """Keep a newer report of a server that is listed."""
+    def store_listed(self, report):
+        """Store a newer report of a listed server."""
         self._listed[report.record.key] = report
 
-    def note_departed(self, report):
-        """Keep the last report of a server that is not listed."""
-        self._departed.add(report.record.key, report)
+    def store_removed(self, report):
+        """Store the last report of a server that is not listed."""
+        self._removed.add(report.record.key, report)
--- a/boragegw/gateway/_server_registry.py
+++ b/boragegw/gateway/_server_registry.py
@@ -1,16 +1,18 @@
-"""Backend servers as the platform lists them: joined, changed, doubted, gone."""
+"""Registry of backend servers that the platform lists: added, updated and removed."""
 
 from boragegw import balancing
 from boragegw.gateway import _reports, _sources
 
 
 class ServerRegistry:
-    """Writes the servers that are listed to the board.
+    """Publishes the listed servers on the board.
 
-    :param on_addresses_gone: called with addresses that are no longer listed.
+    :param on_addresses_gone: called with the set of addresses that are no longer
+        listed.
     :param on_joined: called with each :class:`~boragegw.balancing.Server` that is
-        listed after the first reading.
-    :ivar store_trouble_at: monotonic seconds at which the store had trouble last.
+        listed after the first read.
+    :ivar store_trouble_at: monotonic seconds of the last sign of a failure of the
+        store.
     """
 
     def __init__(self, board, *, now, log, on_addresses_gone, on_joined):
@@ -21,83 +23,87 @@
         self.on_joined = on_joined
         self.store_trouble_at = float("-inf")
         self._reports = _reports.LatestReports()
-        self._doubted = {}
+        self._suspects = {}
 
-    def adopt(self, record, listing, is_first):
-        """Take a server's entry, or the newer one that is known; return its record.
+    def apply(self, record, listing, is_first):
+        """Apply a server's entry, or a newer one that is known; return its record.
 
-        :param is_first: it belongs to the first reading.
+        :param is_first: the entry belongs to the first read.
         """
-        self._doubted.pop(record.key, None)
-        report = self._reports.take(_reports.Report(record, listing))
+        self._suspects.pop(record.key, None)
+        report = self._reports.merge(_reports.Report(record, listing))
         if report.listing is not listing:
-            self._note_older(record, listing, report.listing)
-        self._show(report, is_first)
+            self._log_older(record, listing, report.listing)
+        self._publish(report, is_first)
         return report.record
 
-    def learn(self, report):
-        """Take a report that another process retains; return whether it is newer.
+    def merge_retained(self, report):
+        """Apply a report that another process retains; return whether it is newer.
 
-        Of a server that is not listed it is kept: the older one may yet come.
+        The report of a server that is not listed is kept as well, since an older one
+        may still arrive from the store.
         """
         key = report.record.key
         newest = self._reports.newest(key)
         if newest is not None and not report.is_newer_than(newest):
             return False
         if key in self.board.servers:
-            self._reports.note_listed(report)
-            self._show(report, is_first=False)
+            self._reports.store_listed(report)
+            self._publish(report, is_first=False)
         else:
-            self._reports.note_departed(report)
+            self._reports.store_removed(report)
         return True
 
     def remove(self, key):
-        """Drop a server whose entry is gone; right after trouble it is only doubted."""
+        """Remove a server whose entry is gone.
+
+        Shortly after a store failure the server is only suspected to be gone.
+        """
         server = self.board.servers.get(key)
-        if server is None or key in self._doubted:
+        if server is None or key in self._suspects:
             return
         now = self.now()
         if now - self.store_trouble_at < _sources.STORE_TROUBLE_SECONDS:
-            self._doubted[key] = now + _sources.SUSPECT_GRACE_SECONDS
+            self._suspects[key] = now + _sources.SUSPECT_GRACE_SECONDS
             self.log.event("server-doubted", server=server.identity)
             return
-        self._drop(key)
+        self._remove(key)
 
     def expire_suspects(self):
-        """Drop the servers that stayed away after trouble with the store."""
+        """Remove the servers whose entries did not return after a store failure."""
         now = self.now()
-        overdue = [key for key, until in self._doubted.items() if until <= now]
-        for key in overdue:
-            del self._doubted[key]
+        expired = [key for key, until in self._suspects.items() if until <= now]
+        for key in expired:
+            del self._suspects[key]
             if key in self.board.servers:
-                self._drop(key)
-        if overdue:
-            self.regroup()
+                self._remove(key)
+        if expired:
+            self.group_by_service()
 
-    def regroup(self):
-        """Group the servers by service and tell which addresses are gone."""
+    def group_by_service(self):
+        """Group the servers by service and report the addresses that are gone."""
         groups = {}
         addresses = set()
         for server in self.board.servers.values():
             groups.setdefault(server.listing.service, []).append(server)
             addresses.add(server.listing.address)
-        before = {
+        previous = {
             server.listing.address
             for servers in self.board.by_service.values()
             for server in servers
         }
         self.board.by_service = groups
-        self.on_addresses_gone(before - addresses)
+        self.on_addresses_gone(previous - addresses)
 
-    def _show(self, report, is_first):
-        """Write a server's newest report to the board."""
+    def _publish(self, report, is_first):
+        """Publish a server's newest report on the board."""
         server = self.board.servers.get(report.record.key)
         if server is None or _has_restarted(server.listing, report.listing):
-            self._list(report, is_first)
+            self._add(report, is_first)
         elif report.listing is not server.listing:
             self._update(server, report.listing)
 
-    def _list(self, report, is_first):
+    def _add(self, report, is_first):
         listing = report.listing
         server = balancing.Server(listing)
         if listing.cold_for > 0:
@@ -124,13 +130,13 @@
         server.moved = False
         server.listing = listing
 
-    def _drop(self, key):
+    def _remove(self, key):
         server = self.board.servers.pop(key)
-        self._reports.depart(key)
+        self._reports.mark_removed(key)
         server.removed = True
         self.log.event("server-gone", server=server.identity)
 
-    def _note_older(self, record, listing, known):
+    def _log_older(self, record, listing, known):
         self.log.event(
             "older-report",
             server=known.identity,
--- a/boragegw/gateway/_source_timeout.py
+++ b/boragegw/gateway/_source_timeout.py
@@ -75,7 +75,7 @@
         :param progress: :class:`~boragegw.gateway.Progress` of the present answer.
         :param link: megabits a second of this machine's link.
         """
-        if self._behind_since == math.inf or now < progress.began + JUDGED_AFTER:
+        if self._behind_since == math.inf or now < progress.started_at + JUDGED_AFTER:
             return False
         if progress.rate(now) > OWN_LINK_SHARE * link * BYTES_PER_MEGABIT:
             return False
--- a/boragegw/gateway/_sources.py
+++ b/boragegw/gateway/_sources.py
@@ -1,15 +1,16 @@
-"""What the platform publishes: records, where they come from, what they mean."""
+"""Records that the platform publishes, the sources they are read from, the decoder."""
 
 import abc
 import dataclasses
 
-#: Seconds for which a server that disappears is kept while the platform's store has
-#: just had trouble. Entries that lapsed meanwhile are back within about two seconds;
-#: a server that is truly gone may get work for two seconds at most.
+#: Seconds for which a server is kept whose entry disappears shortly after a failure of
+#: the platform's store. Entries that expired during the failure return within about
+#: two seconds. A server that is really gone may get requests for two seconds at most.
 SUSPECT_GRACE_SECONDS = 1.9
-#: Seconds after trouble with the store for which disappearances are doubted.
+#: Seconds after a failure of the store in which disappearing servers are only suspected
+#: to be gone.
 STORE_TROUBLE_SECONDS = 3.0
-#: Seconds over which a rate is taken at least.
+#: Minimum time in seconds over which a transfer rate is computed.
 MIN_RATE_SPAN_SECONDS = 0.001
 
 
@@ -17,9 +18,9 @@
 class Record:
     """One published record.
 
-    :param value: bytes, or ``None`` if it was deleted.
-    :param revision: revision of its last change.
-    :param retained: ``value`` is newer than what the store holds at that revision.
+    :param value: bytes, or ``None`` if the record was deleted.
+    :param revision: revision of the store at its last change.
+    :param retained: ``value`` is newer than the one in the store at that revision.
     """
 
     key: str
@@ -30,10 +31,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MissCount:
-    """What another process had told of its missed changes when it was read.
+    """Number of missed changes that another process reported when it was read.
 
     :param address: ``(host, port)`` of the process.
-    :param incarnation: drawn at its start.
+    :param incarnation: random number drawn when that process started.
     :param misses: see :attr:`~boragegw.gateway.Catalogue.misses`.
     """
 
@@ -44,13 +45,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadResult:
-    """What one read returned.
+    """Result of one read: a full snapshot, or the changes of a watch.
 
     :param records: list of :class:`Record`.
-    :param position: revision up to which the reader now knows everything.
-    :param consistent: a full reading that shows all as it was at ``position``. One in
-        pages may also show later changes, and lack what was deleted later.
-    :param miss_count: :class:`MissCount` if another process was read.
+    :param position: revision up to which the reader now knows all changes.
+    :param consistent: the result is a snapshot of the state at ``position``. A read in
+        several pages may contain later changes and lack records deleted later.
+    :param miss_count: :class:`MissCount` if the source is another process.
     """
 
     records: list
@@ -61,40 +62,40 @@
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """How far the present answer of a source has arrived.
+    """Progress of the response that a source is currently sending.
 
-    :param received: bytes so far; 0 while none is awaited.
-    :param size: bytes of the whole; 0 if it is not stated.
-    :param began: monotonic seconds at which its first bytes came.
+    :param received: bytes received so far; 0 while no response is arriving.
+    :param size: bytes of the whole response; 0 if unknown.
+    :param started_at: monotonic seconds at which the response began.
     """
 
     received: int = 0
     size: int = 0
-    began: float = 0.0
+    started_at: float = 0.0
 
     def begin(self, size, now):
-        """Note the beginning of an answer."""
+        """Record that a response begins."""
         self.received = 0
         self.size = size
-        self.began = now
+        self.started_at = now
 
     def end(self):
-        """Note that the answer is whole or was given up."""
+        """Record that the response is complete or was abandoned."""
         self.received = 0
 
     def rate(self, now):
-        """Return the bytes a second so far."""
-        return self.received / max(now - self.began, MIN_RATE_SPAN_SECONDS)
+        """Return the average transfer rate in bytes per second."""
+        return self.received / max(now - self.started_at, MIN_RATE_SPAN_SECONDS)
 
     def seconds_left(self, now):
-        """Return the seconds until it is whole if it goes on as it did."""
+        """Return the seconds until the response is complete at the average rate."""
         return max(0, self.size - self.received) / self.rate(now)
 
 
 class SourceError(Exception):
     """A source could not be read.
 
-    :param received: bytes of the answer that had arrived.
+    :param received: bytes of the response received before the failure.
     """
 
     def __init__(self, reason, received=0):
@@ -103,16 +104,16 @@
 
 
 class HistoryLostError(SourceError):
-    """The changes since the given position are no longer known to the source."""
+    """The source no longer has the changes since the given position."""
 
 
 class Source(abc.ABC):
-    """The platform's store, or another process that passes on what it knows."""
+    """A source of records: the platform's store, or a process that replicates it."""
 
     @property
     @abc.abstractmethod
     def progress(self):
-        """The :class:`Progress` of the present answer."""
+        """The :class:`Progress` of the current response."""
 
     @abc.abstractmethod
     async def read_all(self):
@@ -125,18 +126,18 @@
     async def watch(self, after, wait):
         """Return a :class:`ReadResult` of the changes after the position ``after``.
 
-        :param wait: seconds after which it returns without a change.
-        :raises HistoryLostError: if the changes are no longer known.
+        :param wait: seconds after which it returns even without a change.
+        :raises HistoryLostError: if the source no longer has the changes.
         :raises SourceError: if it cannot be read.
         """
 
     @abc.abstractmethod
     def close(self):
-        """Close the connections."""
+        """Close the connections to the source."""
 
 
 class Decoder(abc.ABC):
-    """Reads the platform's records into the product's types."""
+    """Decodes the platform's records into the gateway's types."""
 
     @abc.abstractmethod
     def decode_server(self, record):
@@ -148,4 +149,4 @@
 
     @abc.abstractmethod
     def decode_evacuation(self, record):
-        """Return the data centre that the record takes out, or ``None``."""
+        """Return the data centre that the record evacuates, or ``None``."""
--- a/boragegw/gateway/tests/test_source_timeout.py
+++ b/boragegw/gateway/tests/test_source_timeout.py
@@ -15,9 +15,9 @@
     return timeout
 
 
-def arriving(received, size, began=0.0):
+def arriving(received, size, started_at=0.0):
     progress = _sources.Progress()
-    progress.begin(size, began)
+    progress.begin(size, started_at)
     progress.received = received
     return progress
 
