--- a/boragegw/gateway/_follower.py
+++ b/boragegw/gateway/_follower.py
@@ -1,4 +1,4 @@
-"""Keeps the catalogue current: from the platform's store, or from a process that is."""
+"""Keeps the catalogue up to date from the platform's store or from another process."""
 
 import asyncio
 import math
@@ -10,41 +10,44 @@
     _sources,
 )
 
-#: Seconds that a watch waits for a change: at first, and at most after it has doubled
-#: with each one that ended well. Calls to the store are scarce, and a silent connection
-#: is found by keep-alive probes and by the others' revisions; but right after trouble
-#: a watch may hear nothing at all, and nobody else may know more.
-FIRST_WATCH_WAIT = 1.0
-LONGEST_WATCH_WAIT = 20.0
-#: Seconds between tries of the store while it does not answer: of the processes that
-#: watch it, and of all others.
-WATCHER_RETRY = 0.4
-OTHERS_RETRY = 1.5
-#: Failures in a row after which the store counts as lost, and the longest pause in
-#: seconds before the second try.
-FAILURES_TO_LOSE = 2
-FIRST_RETRY = 0.05
-#: Longest pause in seconds between full readings after each of which the source says
-#: that it does not know the changes since.
-LONGEST_RETRY = 1.0
-#: Seconds between sources that are asked beside a slow one.
-SECOND_INTERVAL = 2.0
+#: Shortest and longest time in seconds that a watch waits for a change. The time
+#: doubles with each successful watch. Calls to the store are limited, and a silent
+#: connection is detected by keep-alive probes and by the revisions of other processes.
+#: Right after a failure, however, a watch may receive nothing at all while no other
+#: process knows more.
+MIN_WATCH_SECONDS = 1.0
+MAX_WATCH_SECONDS = 20.0
+#: Mean seconds between retries while the store does not answer: for the processes that
+#: probe the store, and for all others.
+PROBER_RETRY_SECONDS = 0.4
+RETRY_SECONDS = 1.5
+#: Consecutive failures after which the store is considered lost, and the longest pause
+#: in seconds before the first retry.
+MAX_STORE_FAILURES = 2
+FIRST_RETRY_SECONDS = 0.05
+#: Longest back-off in seconds between full reads after each of which the source reports
+#: that it does not have the changes since.
+MAX_REREAD_BACKOFF_SECONDS = 1.0
+#: Minimum seconds between hedged reads.
+HEDGE_INTERVAL_SECONDS = 2.0
 #: Seconds after a change before the next watch, so that several changes in quick
 #: succession cost one call.
-SETTLE = 0.4
-#: Where the whole system starts for the first time: seconds in which the processes find
-#: each other before they choose who reads the store, and the longest that the others
-#: then wait for those that do. Each of a hundred would otherwise read and watch it; in
-#: 2.5 s each has heard of 98 others.
-ACQUAINTANCE = 2.5
-LONGEST_ACQUAINTANCE = 5.0
+WATCH_DELAY_SECONDS = 0.4
+#: On the first start of the whole system: seconds for which the processes discover each
+#: other before they choose those that read the store, and the longest time in seconds
+#: until the others stop waiting for these. Otherwise each of a hundred processes would
+#: read and watch the store. After 2.5 s each has heard of 98 others.
+DISCOVERY_SECONDS = 2.5
+MAX_DISCOVERY_SECONDS = 5.0
 
 
 class Follower:
-    """Reads from the source that :class:`SourceSelector` names, and watches it.
+    """Reads from the source that :class:`SourceSelector` chooses, and watches it.
 
-    While a source is asked, :meth:`check` looks whether it is still the right one and
-    whether its answer arrives.
+    During a read, :meth:`check` verifies that the source is still the right one and
+    that its response arrives.
+
+    Sources are identified by the name of the process; ``None`` is the store.
 
     :param store: the platform's store, a :class:`Source`.
     :param peer_source: function from a peer's address to a :class:`Source`.
@@ -78,21 +81,21 @@
         self._source_name = None
         self._peer = None
         self._store_failures = 0
-        self._lost_pause = 0.0
+        self._reread_backoff = 0.0
         self._timeout = _source_timeout.SourceTimeout()
-        self._asked_at = math.inf
+        self._read_started_at = math.inf
         self._is_rereading = False
-        self._bytes_before = 0
-        self._second_at = -math.inf
+        self._bytes_at_start = 0
+        self._hedged_at = -math.inf
         self._was_silent = False
-        self._is_detour = False
-        self._wait = FIRST_WATCH_WAIT
+        self._is_one_off = False
+        self._watch_seconds = MIN_WATCH_SECONDS
         self._must_reread = True
 
     async def run(self):
-        """Read and watch for ever."""
+        """Read and watch forever."""
         if self.first_start:
-            await self._get_acquainted()
+            await self._wait_for_discovery()
         while True:
             name = self._next_source()
             try:
@@ -104,34 +107,34 @@
                 self._must_reread = True
                 await self._back_off_after_lost_history()
             except _sources.SourceError as error:
-                await self._failed(name, error)
+                await self._handle_failure(name, error)
 
     def _next_source(self):
-        """Return the source to ask now.
+        """Return the source of the next read.
 
-        After a silent one it is a process that is known to have what is lacking here,
-        for one answer. Guards against a store that hides changes from some processes:
-        those that watch it for others would ask it again and again.
+        After a source that did not respond, this is a process that is ahead of this
+        one, for a single read. Guards against a store that does not deliver changes to
+        some processes: those that watch the store would query it again and again.
         """
-        informed = self._selector.informed_peer() if self._was_silent else None
+        peer_ahead = self._selector.select_peer_ahead() if self._was_silent else None
         self._was_silent = False
-        self._is_detour = informed is not None
-        return informed or self._selector.source()
+        self._is_one_off = peer_ahead is not None
+        return peer_ahead or self._selector.select_source()
 
-    async def _get_acquainted(self):
+    async def _wait_for_discovery(self):
         started = self.now()
-        await asyncio.sleep(ACQUAINTANCE)
-        while self.now() < started + LONGEST_ACQUAINTANCE:  # noqa: ASYNC110
+        await asyncio.sleep(DISCOVERY_SECONDS)
+        while self.now() < started + MAX_DISCOVERY_SECONDS:  # noqa: ASYNC110
             if self._selector.should_watch() or self._selector.best_peer() is not None:
                 return
             await asyncio.sleep(0.05)
 
     @property
     def lag(self):
-        """Revisions by which a process in sight knows more than this one.
+        """Revisions by which this process is behind the most advanced one in sight.
 
-        Others state the revision of the latest change that they know; a process whose
-        position has reached it has that change too.
+        Processes publish the revision of the latest change that they know. A process
+        whose position has reached that revision has the change too.
         """
         return max(0, self.membership.latest_revision() - self.catalogue.position)
 
@@ -153,7 +156,7 @@
     async def _read(self, name):
         source = self._source(name)
         self._source_name = name
-        self._asked_at = self.now()
+        self._read_started_at = self.now()
         try:
             if self._must_reread:
                 await self._reread(name, source)
@@ -162,57 +165,59 @@
         finally:
             self._hedged_read = None
             self._source_name = None
-            self._asked_at = math.inf
+            self._read_started_at = math.inf
 
     async def _watch(self, name, source):
-        position, wait = self.catalogue.position, self._wait
-        self._timeout.ask(self._asked_at)
+        position, wait = self.catalogue.position, self._watch_seconds
+        self._timeout.start(self._read_started_at)
         try:
-            answer = await self._ask(name, source, lambda s: s.watch(position, wait))
+            answer = await self._read_hedged(
+                name, source, lambda s: s.watch(position, wait)
+            )
         finally:
             self._timeout.stop()
         if answer is None:
             return
-        name, reading = answer
+        name, result = answer
         self._source_name = name
-        self._succeeded(name)
-        self._wait = min(2 * self._wait, LONGEST_WATCH_WAIT)
-        self._lost_pause = 0.0
-        self.catalogue.apply_changes(reading)
-        self._note_revision()
+        self._handle_success(name)
+        self._watch_seconds = min(2 * self._watch_seconds, MAX_WATCH_SECONDS)
+        self._reread_backoff = 0.0
+        self.catalogue.apply_changes(result)
+        self._publish_revision()
         if name is None:
-            await asyncio.sleep(SETTLE)
+            await asyncio.sleep(WATCH_DELAY_SECONDS)
 
     async def _reread(self, name, source):
         self._is_rereading = True
-        self._bytes_before = self._bytes()
+        self._bytes_at_start = self._bytes_received()
         try:
-            answer = await self._ask(name, source, lambda s: s.read_all())
+            answer = await self._read_hedged(name, source, lambda s: s.read_all())
         finally:
             self._is_rereading = False
             self.membership.board.learning = False
         if answer is None:
             return
-        name, reading = answer
-        if not self.catalogue.apply_snapshot(reading) and name is not None:
+        name, result = answer
+        if not self.catalogue.apply_snapshot(result) and name is not None:
             raise _sources.SourceError("it knows less than this process")
-        self._succeeded(name)
+        self._handle_success(name)
         self._must_reread = False
-        self._wait = FIRST_WATCH_WAIT
-        self._note_revision()
+        self._watch_seconds = MIN_WATCH_SECONDS
+        self._publish_revision()
 
-    async def _ask(self, name, source, ask):
-        self._hedged_read = _hedged_read.HedgedRead(ask)
-        self._hedged_read.put_to(name, source)
-        return await self._hedged_read.answer()
+    async def _read_hedged(self, name, source, read):
+        self._hedged_read = _hedged_read.HedgedRead(read)
+        self._hedged_read.add_source(name, source)
+        return await self._hedged_read.first_result()
 
-    def _note_revision(self):
+    def _publish_revision(self):
         self.membership.own.revision = self.catalogue.revision
-        self._note_lag(self.now())
+        self._publish_lag(self.now())
 
-    def _succeeded(self, name):
+    def _handle_success(self, name):
         self._selector.failing = False
-        self._timeout.succeed()
+        self._timeout.reset_backoff()
         if name is not None:
             return
         self._store_failures = 0
@@ -225,36 +230,42 @@
             self.membership.announce()
 
     async def _back_off_after_lost_history(self):
-        """Wait, longer each time, where full readings do not help.
+        """Back off exponentially if the history is lost again after a full read.
 
-        Guards against a source that knows no position that it states itself: it would
+        Guards against a source that rejects the position of its own snapshot: it would
         be read without a pause.
         """
-        await asyncio.sleep(self._lost_pause)
-        self._lost_pause = min(max(FIRST_RETRY, 2 * self._lost_pause), LONGEST_RETRY)
+        await asyncio.sleep(self._reread_backoff)
+        self._reread_backoff = min(
+            max(FIRST_RETRY_SECONDS, 2 * self._reread_backoff),
+            MAX_REREAD_BACKOFF_SECONDS,
+        )
 
-    async def _failed(self, name, error):
-        """Note a failed read.
+    async def _handle_failure(self, name, error):
+        """Handle a failed read.
 
-        A watch of the store that was cut may have missed changes, and the next one may
-        not hear of them either while the store is dropping its history: only a full
-        read tells. Another process has all changes up to its position, or says that it
-        does not.
+        An interrupted watch of the store may have missed changes. The next watch may
+        not report them either while the store is dropping its history, so that a full
+        read is required. Another process has all changes up to its position, or reports
+        that it does not.
         """
         self._selector.failing = True
-        # The next watch is short: whether its source answers is known soon.
-        self._wait = FIRST_WATCH_WAIT
-        told = {"reason": str(error), "received": error.received}
+        # A short watch shows soon whether the next source answers.
+        self._watch_seconds = MIN_WATCH_SECONDS
+        details = {"reason": str(error), "received": error.received}
         if name is None:
             self._must_reread = True
             self._store_failures += 1
-            self.log.event("store-read-failed", **told)
+            self.log.event("store-read-failed", **details)
         else:
             self._selector.avoid(name)
-            self.log.event("peer-source-failed", peer=name, **told)
-        if name is not None or self._store_failures < FAILURES_TO_LOSE:
-            # Watches are cut now and then; one failure says nothing of the store.
-            await asyncio.sleep(FIRST_RETRY * (0.5 + 0.5 * self.random_state.random()))
+            self.log.event("peer-source-failed", peer=name, **details)
+        if name is not None or self._store_failures < MAX_STORE_FAILURES:
+            # Watches are interrupted occasionally; one failure does not mean that the
+            # store is lost.
+            await asyncio.sleep(
+                FIRST_RETRY_SECONDS * (0.5 + 0.5 * self.random_state.random())
+            )
             return
         own = self.membership.own
         self.catalogue.store_trouble_at = self.now()
@@ -263,57 +274,60 @@
             own.watches_store = False
             self.log.event("store-lost", reason=str(error))
             self.membership.announce()
-        await self._pause()
+        await self._wait_before_retry()
 
-    async def _pause(self):
-        """Wait before the next try, or until another process can read the store."""
-        probing = self._selector.is_prober()
-        longest = WATCHER_RETRY if probing else OTHERS_RETRY
+    async def _wait_before_retry(self):
+        """Wait before the next retry, at most until a peer can be followed."""
+        probing = self._selector.should_probe_store()
+        longest = PROBER_RETRY_SECONDS if probing else RETRY_SECONDS
         end = self.now() + longest * (0.6 + 0.8 * self.random_state.random())
-        while self.now() < end and not self._selector.peer():  # noqa: ASYNC110
+        while self.now() < end and not self._selector.select_peer():  # noqa: ASYNC110
             await asyncio.sleep(0.05)
 
-    # Watching the watch.
+    # Supervision of reads.
 
     def check(self):
-        """Look whether the present source is still the right one; call this often.
+        """Check that the current source is the right one; to be called often.
 
-        Guards against a watch that never returns: the connection to the store or to
-        a peer was forgotten on the way, or the peer lost power. It shows in another
-        process's heartbeat, which names a revision that is not known here.
+        Guards against a watch that never returns because a middlebox dropped the
+        connection to the source, or because the peer lost power. It is detected by the
+        heartbeat of another process with a revision that is not known here.
 
-        An answer that is arriving is never given up for another one, which would begin
-        with its first byte; if it takes too long, another source is asked beside.
+        A response that is arriving is never abandoned for another one, which would
+        start from its first byte. If it takes too long, the read is hedged to a second
+        source.
         """
         self.catalogue.expire_suspects()
         now = self.now()
         if any(not m.reads_store for m in self.membership.alive()):
             self.catalogue.store_trouble_at = now
-        self._note_lag(now)
+        self._publish_lag(now)
         progress = self._progress()
         if self._is_rereading and self.catalogue.position < 0:
-            self.membership.board.learning = self._bytes() > self._bytes_before
-        self._timeout.expect(self._source_knows_more())
+            self.membership.board.learning = (
+                self._bytes_received() > self._bytes_at_start
+            )
+        self._timeout.set_source_ahead(self._is_source_ahead())
         if progress.received:
             self._check_rate(progress, now)
-        elif self._timeout.gives_up(now):
+        elif self._timeout.check_expired(now):
             self._was_silent = True
             self._leave_source("behind the others")
-        elif not self._is_rereading and not self._is_detour:
-            self._check_place()
+        elif not self._is_rereading and not self._is_one_off:
+            self._check_source()
 
     def _check_rate(self, progress, now):
-        """Ask a second source if the answer arrives too slowly; drop neither."""
-        asked = self._hedged_read.asked
-        if len(asked) > 1 or now < self._second_at + SECOND_INTERVAL:
+        """Hedge the read to a second source if the response arrives too slowly."""
+        pending = self._hedged_read.pending
+        if len(pending) > 1 or now < self._hedged_at + HEDGE_INTERVAL_SECONDS:
             return
         if not self._timeout.is_slow(progress, self.membership.own.link_mbps, now):
             return
-        self._second_at = now
+        self._hedged_at = now
         if self._source_name is not None:
             self._selector.avoid(self._source_name)
-        name = self._selector.peer()
-        if name in asked:
+        name = self._selector.select_peer()
+        if name in pending:
             return
         self.log.event(
             "source-slow",
@@ -322,17 +336,17 @@
             size=progress.size,
             second=name or "store",
         )
-        self._hedged_read.put_to(name, self._source(name))
+        self._hedged_read.add_source(name, self._source(name))
 
-    def _check_place(self):
-        if self._source_name is not None and not self._selector.is_good(
+    def _check_source(self):
+        if self._source_name is not None and not self._selector.may_follow(
             self._source_name
         ):
             self._leave_source("it is no source any more")
-        elif self._selector.is_misplaced(self._source_name):
-            self._turn_away()
-        elif self._source_name is None and self._asked_at < math.inf:
-            # A watch that this process began for itself may serve the others too.
+        elif self._selector.should_switch(self._source_name):
+            self._cancel_read()
+        elif self._source_name is None and self._read_started_at < math.inf:
+            # A watch that this process started for itself may serve its peers as well.
             self.membership.own.watches_store = self._selector.should_watch()
 
     def _progress(self):
@@ -340,13 +354,14 @@
             return _sources.Progress()
         return self._hedged_read.progress
 
-    def _bytes(self):
+    def _bytes_received(self):
         return self.membership.board.counters["sources.bytes"]
 
-    def _source_knows_more(self):
-        """Return whether the present source has what this process lacks.
+    def _is_source_ahead(self):
+        """Return whether the current source is ahead of this process.
 
-        A process in between has nothing to pass on until its own answer is whole.
+        A process that follows another one cannot pass on changes until its own response
+        is complete.
         """
         name = self._source_name
         if name is None:
@@ -354,9 +369,9 @@
         known = (m.revision for m in self.membership.alive() if m.name == name)
         return next(known, 0) > self.catalogue.position
 
-    def _note_lag(self, now):
+    def _publish_lag(self, now):
         lag = self.lag
-        self._timeout.learn(lag, now)
+        self._timeout.update_lag(lag, now)
         self.membership.board.behind = lag > 0
 
     def _leave_source(self, reason):
@@ -366,15 +381,15 @@
             source=name or "store",
             reason=reason,
             received=self._progress().received,
-            after=round(self.now() - self._asked_at, 3),
+            after=round(self.now() - self._read_started_at, 3),
         )
         self.membership.board.counters["sources.left"] += 1
         if name is None:
             self.store.close()
         else:
             self._selector.avoid(name)
-        self._turn_away()
+        self._cancel_read()
 
-    def _turn_away(self):
+    def _cancel_read(self):
         if self._hedged_read is not None:
-            self._hedged_read.drop()
+            self._hedged_read.cancel()
--- a/boragegw/gateway/_hedged_read.py
+++ b/boragegw/gateway/_hedged_read.py
@@ -1,4 +1,4 @@
-"""One question to a source, and to a second one beside it if the first is slow."""
+"""Read from one source that can be hedged to further sources."""
 
 import asyncio
 
@@ -6,53 +6,53 @@
 
 
 class HedgedRead:
-    """Waits for the first whole answer.
+    """Reads from one or more sources, and returns the first complete result.
 
-    :param ask: function from a :class:`~boragegw.gateway.Source` to a coroutine that
+    :param read: function from a :class:`~boragegw.gateway.Source` to a coroutine that
         returns a :class:`~boragegw.gateway.ReadResult`.
     """
 
-    def __init__(self, ask):
-        self.ask = ask
+    def __init__(self, read):
+        self.read = read
         self._names = {}
         self._sources = {}
-        self._moved = asyncio.Event()
-        self._dropped = False
+        self._changed = asyncio.Event()
+        self._cancelled = False
 
     @property
-    def asked(self):
-        """Names of the sources that are being asked."""
+    def pending(self):
+        """Names of the sources whose reads are in progress."""
         return {name for task, name in self._names.items() if not task.done()}
 
     @property
     def progress(self):
-        """:class:`~boragegw.gateway.Progress` of the answer that has come furthest."""
-        found = [s.progress for task, s in self._sources.items() if not task.done()]
-        return max(found, key=lambda p: p.received, default=_sources.Progress())
+        """:class:`~boragegw.gateway.Progress` of the most advanced response."""
+        progress = [s.progress for task, s in self._sources.items() if not task.done()]
+        return max(progress, key=lambda p: p.received, default=_sources.Progress())
 
-    def put_to(self, name, source):
-        """Ask ``source`` besides those that have been asked."""
-        task = asyncio.ensure_future(self.ask(source))
+    def add_source(self, name, source):
+        """Start a read from ``source`` in parallel with those in progress."""
+        task = asyncio.ensure_future(self.read(source))
         self._names[task] = name
         self._sources[task] = source
-        self._moved.set()
+        self._changed.set()
 
-    def drop(self):
-        """Wait no longer."""
-        self._dropped = True
-        self._moved.set()
+    def cancel(self):
+        """Cancel all reads."""
+        self._cancelled = True
+        self._changed.set()
 
-    async def answer(self):
-        """Return the name of the source and its reading; ``None`` if it was dropped.
+    async def first_result(self):
+        """Return the name of the source and its result, ``None`` if cancelled.
 
-        :raises SourceError: the first source's, if all have failed.
+        :raises SourceError: the error of the first source, if all have failed.
         """
         try:
-            while not self._dropped:
+            while not self._cancelled:
                 done = [task for task in self._names if task.done()]
-                whole = [task for task in done if task.exception() is None]
-                if whole:
-                    return self._names[whole[0]], whole[0].result()
+                complete = [task for task in done if task.exception() is None]
+                if complete:
+                    return self._names[complete[0]], complete[0].result()
                 if len(done) == len(self._names):
                     raise done[0].exception()
                 await self._wait(done)
@@ -63,12 +63,12 @@
             await asyncio.gather(*self._names, return_exceptions=True)
 
     async def _wait(self, done):
-        self._moved.clear()
-        moved = asyncio.ensure_future(self._moved.wait())
-        open_tasks = [task for task in self._names if task not in done]
+        self._changed.clear()
+        changed = asyncio.ensure_future(self._changed.wait())
+        pending_tasks = [task for task in self._names if task not in done]
         try:
             await asyncio.wait(
-                (*open_tasks, moved), return_when=asyncio.FIRST_COMPLETED
+                (*pending_tasks, changed), return_when=asyncio.FIRST_COMPLETED
             )
         finally:
-            moved.cancel()
+            changed.cancel()
--- a/boragegw/gateway/_replication_tree.py
+++ b/boragegw/gateway/_replication_tree.py
@@ -1,53 +1,56 @@
-"""Which process to follow: a tree in which each source has few followers for its link.
+"""Replication tree of a data centre: each process follows another one, up to a root.
 
-The processes of a data centre stand in one order: those that watch the store, then all
-others by link and name. Each follows one that stands before it, so that there is no
-circle, also while two processes do not know the same others.
+The root watches the store. The number of followers of a process is limited by its link.
+
+The processes of a data centre are ordered: first those that watch the store, then all
+others by link and by a hash of the name. Each process follows one that comes before it
+in the order. Thus there are no cycles, even while processes know different members.
 """
 
 import msgspec
 
 from boragegw import utils
 
-#: Megabits a second of a source's link for each process that follows it: 24 KB, about a
-#: thousand routes compressed, then reach all of them within 50 ms.
+#: Bandwidth in megabits per second of a source's link for each of its followers. 24 KB,
+#: about a thousand compressed routes, then reach all followers within 50 ms.
 LINK_MBPS_PER_FOLLOWER = 4.0
-#: Followers of a source on a slow link.
+#: Followers of a source whose link is slow.
 MIN_FOLLOWERS = 2
 
 
 def is_root(member):
-    """Return whether a process has its knowledge from the store itself."""
+    """Return whether a process reads the store itself."""
     return member.watches_store and member.reads_store
 
 
 def may_follow(own, member):
-    """Return whether ``member`` is a root, or stands before ``own`` in the order."""
+    """Return whether ``member`` is a root, or comes before ``own`` in the order."""
     if is_root(member):
         return True
     if member.data_centre != own.data_centre:
         return False
-    return _ordered([_without_store(own), member])[0] is member
+    return _ordered([_as_follower(own), member])[0] is member
 
 
 def source_for(own, members):
-    """Return the member that ``own`` should follow, or ``None`` without a root.
+    """Return the member that ``own`` should follow, or ``None`` if there is no root.
 
-    :param members: others in the data centre, as :class:`~boragegw.gateway.Member`.
+    :param members: :class:`~boragegw.gateway.Member` of the other processes in the data
+        centre.
     """
-    own = _without_store(own)
+    own = _as_follower(own)
     order = _ordered([*members, own])
     index = next(i for i, member in enumerate(order) if member is own)
-    reached = sum(1 for member in order if is_root(member))
-    for candidate in order[:index] if reached else ():
-        reached += max_followers(candidate)
-        if index < reached:
+    capacity = sum(1 for member in order if is_root(member))
+    for candidate in order[:index] if capacity else ():
+        capacity += max_followers(candidate)
+        if index < capacity:
             return candidate
     return None
 
 
 def max_followers(member):
-    """Return how many followers a process on its link should have at most."""
+    """Return the maximum number of followers of a process, by its link."""
     return max(MIN_FOLLOWERS, int(member.link_mbps / LINK_MBPS_PER_FOLLOWER))
 
 
@@ -57,6 +60,6 @@
     return sorted(ranked, key=lambda member: (not is_root(member), -member.link_mbps))
 
 
-def _without_store(member):
-    """Return ``member`` as one that is about to follow another."""
+def _as_follower(member):
+    """Return a copy of ``member`` that does not watch the store."""
     return msgspec.structs.replace(member, watches_store=False)
--- a/boragegw/gateway/_source_selection.py
+++ b/boragegw/gateway/_source_selection.py
@@ -1,28 +1,28 @@
-"""Chooses where a process learns from: the platform's store, or another process."""
+"""Selection of the source of records: the platform's store or another process."""
 
 import math
 
 from boragegw import utils
 from boragegw.gateway import _peer_messages, _replication_tree
 
-#: Processes in a data centre that watch the store.
-WATCHERS = 1
-#: Seconds for which a process that did not answer is not followed.
-AVOIDED = 2.0
+#: Processes in each data centre that watch the store.
+WATCHERS_PER_DATA_CENTRE = 1
+#: Seconds for which a process is not followed after it failed or was too slow.
+AVOID_SECONDS = 2.0
 
 
 class SourceSelector:
-    """Chooses a source among the store and the other processes.
+    """Selects a source among the store and the other processes.
 
-    A few processes watch the store, the first of each data centre by link and then in
-    rendezvous order; the others follow that one, or one that follows it, see
-    :mod:`~boragegw.gateway._replication_tree`. So calls to the store grow with the data
-    centres and not with the fleet. A process that finds nobody to follow reads the
-    store.
+    In each data centre one process watches the store: the one with the fastest link,
+    among equals the first by rendezvous hashing. The other processes follow it directly
+    or through others, see :mod:`~boragegw.gateway._replication_tree`. Thus the calls to
+    the store grow with the number of data centres and not with the fleet. A process
+    that finds no process to follow reads the store.
 
-    Sources are named by the process's name; ``None`` is the store.
+    Sources are identified by the name of the process; ``None`` is the store.
 
-    :ivar failing: the last answer that was awaited has not come.
+    :ivar failing: the last read has failed.
     """
 
     def __init__(self, catalogue, membership, *, now, random_state):
@@ -33,60 +33,61 @@
         self.failing = False
         self._avoided = {}
 
-    def source(self):
-        """Return the source to read from; the others hear whether it is the store."""
+    def select_source(self):
+        """Return the source to read from, and publish whether it is the store."""
         watching = self.should_watch()
         self.membership.own.watches_store = watching
-        return None if watching else self.peer()
+        return None if watching else self.select_peer()
 
-    def peer(self):
-        """Return the process to read from, or ``None`` if there is none."""
-        return self.best_peer() or self._any_peer()
+    def select_peer(self):
+        """Return the name of the process to read from, or ``None``."""
+        return self.best_peer() or self._bootstrap_peer()
 
-    def informed_peer(self):
-        """Return a process that knows more than this one, or ``None``."""
+    def select_peer_ahead(self):
+        """Return the name of a process that is ahead of this one, or ``None``."""
         own = self.membership.own
         position = self.catalogue.position
-        informed = [m for m in self._candidates() if m.revision > position]
-        near = [m for m in informed if m.data_centre == own.data_centre]
-        if not informed:
+        ahead = [m for m in self._candidates() if m.revision > position]
+        local = [m for m in ahead if m.data_centre == own.data_centre]
+        if not ahead:
             return None
-        return self.random_state.choice(near or informed).name
+        return self.random_state.choice(local or ahead).name
 
     def avoid(self, name):
-        """Follow ``name`` no more for a while."""
-        self._avoided[name] = self.now() + AVOIDED
+        """Do not follow ``name`` for :data:`AVOID_SECONDS`."""
+        self._avoided[name] = self.now() + AVOID_SECONDS
 
-    def is_prober(self):
-        """Return whether this process tries the store while nobody can read it."""
-        return self.membership.own.name in self._probers()
+    def should_probe_store(self):
+        """Return whether this process probes the store while no process can read it."""
+        return self.membership.own.name in self._store_probers()
 
     def should_watch(self):
         """Return whether this process should watch the store for its data centre.
 
-        One that cannot read the store only tries it, and only if nobody else can.
+        A process that cannot read the store only probes it, and only if no other
+        process can be followed.
         """
-        if self._knows_nothing_while_store_is_away():
+        if self._bootstraps_from_peer():
             return False
         own = self.membership.own
         if own.reads_store:
-            return own.name in self._watchers()
-        return self.best_peer() is None and own.name in self._probers()
+            return own.name in self._store_watchers()
+        return self.best_peer() is None and own.name in self._store_probers()
 
-    def _watchers(self):
+    def _store_watchers(self):
         """Return the names of the processes that should watch the store."""
-        members = [m for m in self._readable() if m.reads_store]
+        members = [m for m in self._compatible_members() if m.reads_store]
         return self._first_of_each(members)
 
-    def _probers(self):
-        """Return the names of those that try the store while nobody can read it."""
-        return self._first_of_each(self._readable())
+    def _store_probers(self):
+        """Return the processes that probe the store while no process can read it."""
+        return self._first_of_each(self._compatible_members())
 
-    def _readable(self):
-        """Return the other processes that pass on what they know in our format.
+    def _compatible_members(self):
+        """Return the other processes that replicate records in this process's format.
 
-        Guards against a fleet of two versions, as while one is rolled out: those of
-        one would ask those of the other in vain, and then the store.
+        Guards against a fleet of two versions, as during a rolling update: processes of
+        one version would query those of the other in vain, and then the store.
         """
         own = self.membership.own.replica_format
         return [m for m in self.membership.alive() if m.replica_format == own]
@@ -102,39 +103,41 @@
         return {
             name
             for data_centre, group in groups.items()
-            for name in utils.rank(data_centre, _best_linked(group))[:WATCHERS]
+            for name in utils.rank(data_centre, _names_with_fastest_link(group))[
+                :WATCHERS_PER_DATA_CENTRE
+            ]
         }
 
     def best_peer(self):
         """Return the name of the process to follow, or ``None`` if none can be."""
         own = self.membership.own
         candidates = self._candidates()
-        near = [m for m in candidates if m.data_centre == own.data_centre]
-        source = _replication_tree.source_for(own, near)
+        local = [m for m in candidates if m.data_centre == own.data_centre]
+        source = _replication_tree.source_for(own, local)
         if source is None:
-            away = [m for m in candidates if _replication_tree.is_root(m)]
-            source = self.random_state.choice(away) if away else None
+            remote = [m for m in candidates if _replication_tree.is_root(m)]
+            source = self.random_state.choice(remote) if remote else None
         return None if source is None else source.name
 
     def _candidates(self):
-        """Return the members that know something and did not fail of late."""
+        """Return the members that have records and did not fail recently."""
         now = self.now()
         return [
             member
-            for member in self._readable()
+            for member in self._compatible_members()
             if member.revision
             and member.life != _peer_messages.Life.LEAVING
             and self._avoided.get(member.name, -math.inf) <= now
         ]
 
-    def _knows_nothing_while_store_is_away(self):
-        return self.catalogue.position < 0 and self._any_peer() is not None
+    def _bootstraps_from_peer(self):
+        return self.catalogue.position < 0 and self._bootstrap_peer() is not None
 
-    def _any_peer(self):
-        """Return a peer to begin with if the store has failed and nothing is known.
+    def _bootstrap_peer(self):
+        """Return a peer for the first read if the store has failed.
 
-        Guards against a process that starts while nobody can read the store: it would
-        refuse everything although its peers serve on with what they know.
+        Guards against a process that starts while no process can read the store: it
+        would refuse all requests although its peers keep serving.
         """
         if self.catalogue.position >= 0 or not self.failing:
             return None
@@ -143,8 +146,8 @@
             return None
         return max(peers, key=lambda member: member.revision).name
 
-    def is_good(self, name):
-        """Return whether the process ``name`` may still be followed."""
+    def may_follow(self, name):
+        """Return whether this process may still follow the process ``name``."""
         if self.catalogue.position < 0:
             return True
         members = {member.name: member for member in self.membership.alive()}
@@ -154,18 +157,19 @@
             return False
         return _replication_tree.may_follow(self.membership.own, members[name])
 
-    def is_misplaced(self, name):
-        """Return whether the store should be read instead of ``name``, or no more."""
+    def should_switch(self, name):
+        """Return whether to switch from ``name`` to the store, or from it to a peer."""
         if self.should_watch():
             return name is not None
         return name is None and self.best_peer() is not None
 
 
-def _best_linked(members):
+def _names_with_fastest_link(members):
     """Return the names of the members with the fastest links.
 
-    Guards against a watcher on a slow link: on one of 5 Mbit/s the first reading of 276
-    servers by the others took seconds, and they all read the store in its place.
+    Guards against a watcher on a slow link: through a link of 5 Mbit/s the first read
+    of 276 servers by the other processes took seconds, and they all read the store
+    instead.
     """
     fastest = max(member.link_mbps for member in members)
     return [member.name for member in members if member.link_mbps == fastest]
--- a/boragegw/gateway/_source_timeout.py
+++ b/boragegw/gateway/_source_timeout.py
@@ -1,82 +1,88 @@
-"""How long an answer with news of the platform is waited for."""
+"""Timeout of reads from a source, and detection of slow responses."""
 
 import math
 
-#: Seconds for which a process may know less than another one while nothing arrives.
-SILENCE_LIMIT = 0.3
-#: How much longer a source is waited for that is still behind itself.
-BEHIND_FACTOR = 3
-#: Seconds after which the rate of an answer that arrives is judged, and those that may
-#: then be left until it is whole.
-JUDGED_AFTER = 0.5
-SLOW_LIMIT = 1.0
-#: Share of the own link from which an answer is taken to be as fast as that allows.
-OWN_LINK_SHARE = 0.3
+#: Seconds for which a process may be behind another one before a response must begin.
+RESPONSE_TIMEOUT_SECONDS = 0.3
+#: Factor of the timeout for a source that is not ahead of this process itself.
+BEHIND_SOURCE_FACTOR = 3
+#: Seconds after which the transfer rate of a response is evaluated, and the maximum
+#: number of seconds that may then remain until it is complete.
+MIN_RATE_SECONDS = 0.5
+MAX_REMAINING_SECONDS = 1.0
+#: Share of the own link's bandwidth above which the own link is taken to limit a
+#: response.
+LINK_SHARE = 0.3
 BYTES_PER_MEGABIT = 125_000
 
 
 class SourceTimeout:
-    """Decides when another source is asked.
+    """Decides when a read is abandoned or hedged to another source.
 
-    A process that knows as much as the others waits for ever. One that knows less waits
-    until an answer begins, twice as long for each source that is left: however many ask
-    and however full the link is, an answer comes in the end.
+    A process that is not behind any other one waits forever. One that is behind waits
+    until a response begins. The timeout doubles with each source that is abandoned, so
+    that a response eventually arrives however many processes read and however busy the
+    link is.
     """
 
     def __init__(self):
-        self._asked_at = math.inf
+        self._started_at = math.inf
         self._behind_since = math.inf
-        self._factor = 1
-        self._silence = 1
+        self._backoff = 1
+        self._source_factor = 1
 
-    def ask(self, now):
-        """Note that a source is asked for changes."""
-        self._asked_at = now
+    def start(self, now):
+        """Start the timeout of a watch."""
+        self._started_at = now
 
     def stop(self):
-        """Note that no source is asked for changes any more."""
-        self._asked_at = math.inf
+        """Stop the timeout."""
+        self._started_at = math.inf
 
-    def learn(self, lag, now):
-        """Note by how many revisions others know more."""
+    def update_lag(self, lag, now):
+        """Set the number of revisions by which this process is behind others."""
         if not lag:
             self._behind_since = math.inf
         elif self._behind_since == math.inf:
             self._behind_since = now
 
-    def expect(self, knows_more):
-        """Note whether the source itself is known to know more than this process."""
-        self._silence = 1 if knows_more else BEHIND_FACTOR
+    def set_source_ahead(self, is_ahead):
+        """Set whether the source is known to be ahead of this process."""
+        self._source_factor = 1 if is_ahead else BEHIND_SOURCE_FACTOR
 
-    def succeed(self):
-        """Note that a source has answered."""
-        self._factor = 1
+    def reset_backoff(self):
+        """Reset the timeout after a successful read."""
+        self._backoff = 1
 
-    def gives_up(self, now):
-        """Return whether to leave the present source, of which nothing has come.
+    def check_expired(self, now):
+        """Return whether to abandon the current source, which has sent nothing.
 
-        If so, the next one is waited for twice as long.
+        If so, the timeout of the next source is twice as long.
 
-        Counted from the question at the earliest: a limit that runs on while a new one
-        is asked would end that too, before its answer.
+        The timeout starts with the read at the earliest. One that continued from the
+        previous source would end the next read before its response.
         """
-        waited = now - max(self._asked_at, self._behind_since)
-        limit = SILENCE_LIMIT * self._factor * self._silence
+        waited = now - max(self._started_at, self._behind_since)
+        limit = RESPONSE_TIMEOUT_SECONDS * self._backoff * self._source_factor
         if waited <= limit:
             return False
-        self._factor *= 2
+        self._backoff *= 2
         return True
 
-    def is_slow(self, progress, link, now):
-        """Return whether a second source is to be asked beside the present one.
+    def is_slow(self, progress, link_mbps, now):
+        """Return whether the read should be hedged to a second source.
 
-        Not where the own link is what is slow: two answers would share it.
+        If the own link is the bottleneck, the answer is no: two responses would share
+        the link.
 
-        :param progress: :class:`~boragegw.gateway.Progress` of the present answer.
-        :param link: megabits a second of this machine's link.
+        :param progress: :class:`~boragegw.gateway.Progress` of the current response.
+        :param link_mbps: bandwidth of this machine's link in megabits per second.
         """
-        if self._behind_since == math.inf or now < progress.started_at + JUDGED_AFTER:
+        if (
+            self._behind_since == math.inf
+            or now < progress.started_at + MIN_RATE_SECONDS
+        ):
             return False
-        if progress.rate(now) > OWN_LINK_SHARE * link * BYTES_PER_MEGABIT:
+        if progress.rate(now) > LINK_SHARE * link_mbps * BYTES_PER_MEGABIT:
             return False
-        return progress.seconds_left(now) > SLOW_LIMIT
+        return progress.seconds_left(now) > MAX_REMAINING_SECONDS
--- a/boragegw/gateway/tests/test_source_timeout.py
+++ b/boragegw/gateway/tests/test_source_timeout.py
@@ -5,17 +5,17 @@
 from boragegw.gateway import _source_timeout, _sources
 
 #: Mbit/s of the machine's link.
-LINK = 100.0
+LINK_MBPS = 100.0
 
 
-def behind(now=0.0):
+def lagging_timeout(now=0.0):
     timeout = _source_timeout.SourceTimeout()
-    timeout.learn(1, now)
-    timeout.ask(now)
+    timeout.update_lag(1, now)
+    timeout.start(now)
     return timeout
 
 
-def arriving(received, size, started_at=0.0):
+def progress_of(received, size, started_at=0.0):
     progress = _sources.Progress()
     progress.begin(size, started_at)
     progress.received = received
@@ -24,43 +24,43 @@
 
 def test_process_that_knows_as_much_as_the_others_waits_for_ever():
     timeout = _source_timeout.SourceTimeout()
-    timeout.learn(0, 0.0)
-    timeout.ask(0.0)
-    assert not timeout.gives_up(1000.0)
+    timeout.update_lag(0, 0.0)
+    timeout.start(0.0)
+    assert not timeout.check_expired(1000.0)
 
 
 def test_silent_source_is_left_and_the_next_is_waited_for_longer():
-    timeout = behind()
-    assert not timeout.gives_up(0.3)
-    assert timeout.gives_up(0.31)
-    timeout.ask(0.31)
-    assert not timeout.gives_up(0.9)
-    assert timeout.gives_up(0.92)
-    timeout.succeed()
-    timeout.ask(1.0)
-    assert timeout.gives_up(1.31)
+    timeout = lagging_timeout()
+    assert not timeout.check_expired(0.3)
+    assert timeout.check_expired(0.31)
+    timeout.start(0.31)
+    assert not timeout.check_expired(0.9)
+    assert timeout.check_expired(0.92)
+    timeout.reset_backoff()
+    timeout.start(1.0)
+    assert timeout.check_expired(1.31)
 
 
 def test_watch_that_began_long_ago_is_judged_from_the_news_on():
     """Its answer may be on the way: it was left as soon as others were heard."""
     timeout = _source_timeout.SourceTimeout()
-    timeout.ask(0.0)
-    timeout.learn(1, 20.0)
-    assert not timeout.gives_up(20.29)
-    assert timeout.gives_up(20.31)
+    timeout.start(0.0)
+    timeout.update_lag(1, 20.0)
+    assert not timeout.check_expired(20.29)
+    assert timeout.check_expired(20.31)
 
 
 def test_source_that_is_behind_itself_is_waited_for_longer():
-    timeout = behind()
-    timeout.expect(knows_more=False)
-    assert not timeout.gives_up(0.8)
-    assert timeout.gives_up(0.91)
+    timeout = lagging_timeout()
+    timeout.set_source_ahead(is_ahead=False)
+    assert not timeout.check_expired(0.8)
+    assert timeout.check_expired(0.91)
 
 
 def test_no_question_is_not_given_up():
-    timeout = behind()
+    timeout = lagging_timeout()
     timeout.stop()
-    assert not timeout.gives_up(1000.0)
+    assert not timeout.check_expired(1000.0)
 
 
 @pytest.mark.parametrize(
@@ -74,10 +74,10 @@
     ],
 )
 def test_second_source_is_asked_beside_a_slow_one(received, size, now, slow):
-    progress = arriving(received, size)
-    assert behind().is_slow(progress, LINK, now) == slow
+    progress = progress_of(received, size)
+    assert lagging_timeout().is_slow(progress, LINK_MBPS, now) == slow
 
 
 def test_slow_answer_matters_only_while_others_know_more():
     timeout = _source_timeout.SourceTimeout()
-    assert not timeout.is_slow(arriving(1000, 100_000), LINK, 10.0)
+    assert not timeout.is_slow(progress_of(1000, 100_000), LINK_MBPS, 10.0)
