--- a/boragegw/gateway/_catalogue.py
+++ b/boragegw/gateway/_catalogue.py
@@ -250,7 +250,10 @@
             if record is known:
                 continue
             self._previous.pop(key, None)
-            large = record is not None and len(record.value) >= _compression.LARGE
+            large = (
+                record is not None
+                and len(record.value) >= _compression.COMPRESSION_THRESHOLD_BYTES
+            )
             if large and known is not None:
                 self._previous[key] = known
 
--- a/boragegw/gateway/_directory.py
+++ b/boragegw/gateway/_directory.py
@@ -1,40 +1,40 @@
-"""Which gateway processes callers are told to use."""
+"""Choice of the gateway processes whose addresses the directory returns to callers."""
 
 from boragegw import utils
 
 
 class DirectoryPolicy(utils.Parameterized):
-    """Chooses the processes that a caller is told to use.
-
-    :param least_local: a caller is sent to its own data centre alone if at least
-        this many processes there take requests; fewer would leave it with too little
-        choice when one is lost.
-    :param guests: processes of other data centres that are named besides, so that a
-        caller whose data centre loses power has somewhere to go.
-    :param most: addresses in an answer.
+    """Chooses the processes whose addresses a caller gets.
+
+    :param min_local: minimum number of processes in the caller's data centre that
+        accept requests. With fewer, the caller gets the processes of all data centres,
+        so that it has enough alternatives when one process is lost.
+    :param max_remote: maximum number of processes of other data centres otherwise. They
+        serve the caller if its data centre loses power.
+    :param max_addresses: maximum number of addresses in a response.
     """
 
     _parameter_constraints = {
-        "least_local": utils.Interval(int, 0, 1000),
-        "guests": utils.Interval(int, 0, 1000),
-        "most": utils.Interval(int, 1, 64),
+        "min_local": utils.Interval(int, 0, 1000),
+        "max_remote": utils.Interval(int, 0, 1000),
+        "max_addresses": utils.Interval(int, 1, 64),
     }
 
-    def __init__(self, least_local=2, guests=2, most=64):
-        self.least_local = least_local
-        self.guests = guests
-        self.most = most
+    def __init__(self, min_local=2, max_remote=2, max_addresses=64):
+        self.min_local = min_local
+        self.max_remote = max_remote
+        self.max_addresses = max_addresses
 
     def choose(self, members, data_centre, random_state):
-        """Return the members that a caller in ``data_centre`` is told to use.
+        """Return the members whose addresses a caller in ``data_centre`` gets.
 
-        :param members: :class:`Member` of all processes that take requests.
+        :param members: :class:`Member` of all processes that accept requests.
         """
         self._check_params()
         local = [m for m in members if m.data_centre == data_centre]
-        others = [m for m in members if m.data_centre != data_centre]
+        remote = [m for m in members if m.data_centre != data_centre]
         random_state.shuffle(local)
-        random_state.shuffle(others)
-        if len(local) < self.least_local:
-            return (local + others)[: self.most]
-        return (local + others[: self.guests])[: self.most]
+        random_state.shuffle(remote)
+        if len(local) < self.min_local:
+            return (local + remote)[: self.max_addresses]
+        return (local + remote[: self.max_remote])[: self.max_addresses]
--- a/boragegw/gateway/_fetch.py
+++ b/boragegw/gateway/_fetch.py
@@ -1,27 +1,29 @@
-"""Fetches answers over HTTP from one address, as long as they keep arriving."""
+"""HTTP client for one address that limits silence and not the whole response time."""
 
 import asyncio
 import dataclasses
 
 from boragegw.gateway import _sources, _upstream
 
-#: Bytes of one answer that are accepted.
-ANSWER_LIMIT = 16 << 20
-#: Seconds until an attempt to connect is given up: as long as a full link of 5 Mbit/s
-#: holds the opening packet behind 300 KB.
-CONNECT_TIMEOUT = 0.5
-#: Connections to one address: one question, and those that are being given up.
-CONNECTIONS = 4
-#: Seconds without a byte after which an answer that has begun is given up. Its whole
-#: has no limit: that time grows with the answer, the link and the number that ask.
-STALL = 1.0
+#: Maximum size of a response body in bytes.
+MAX_RESPONSE_BYTES = 16 << 20
+#: Connect timeout in seconds. A busy link of 5 Mbit/s with 300 KB in its queue delays
+#: the first packet of a connection by that long.
+CONNECT_TIMEOUT_SECONDS = 0.5
+#: Maximum number of connections to one address: one in use, and others that are being
+#: closed.
+MAX_CONNECTIONS = 4
+#: Seconds without a byte after which a response that has begun is abandoned. The whole
+#: response has no timeout, since its duration depends on its size, the link and the
+#: number of clients.
+STALL_TIMEOUT_SECONDS = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FetchedResponse:
-    """A whole answer.
+    """A complete response.
 
-    :param headers: pairs of bytes, names in lower case.
+    :param headers: name and value pairs as bytes, names in lower case.
     """
 
     status: int
@@ -30,13 +32,13 @@
 
 
 class Fetcher:
-    """Asks one address; each answer is whole or an error.
+    """Sends GET requests to one address, and returns complete responses only.
 
     :param address: ``(host, port)``.
     :param now: function that returns monotonic seconds.
     :param counters: the board's counters.
-    :param counter: name under which calls are counted.
-    :ivar progress: :class:`~boragegw.gateway.Progress` of the present answer.
+    :param counter: name of the counter of requests.
+    :ivar progress: :class:`~boragegw.gateway.Progress` of the current response.
     """
 
     def __init__(self, address, now, counters, counter):
@@ -45,65 +47,65 @@
         self.counters = counters
         self.counter = counter
         self.progress = _sources.Progress()
-        self._pool = _upstream.Pool(address, now, CONNECT_TIMEOUT)
+        self._pool = _upstream.Pool(address, now, CONNECT_TIMEOUT_SECONDS)
 
     async def get(self, path, timeout):
-        """Return the :class:`FetchedResponse` answer to GET ``path``.
+        """Return the :class:`FetchedResponse` to GET ``path``.
 
-        :param timeout: seconds until the answer has begun.
-        :raises SourceError: if there is none, or it stops arriving.
+        :param timeout: seconds until the response must begin.
+        :raises SourceError: if no response begins, or it stops arriving.
         """
         self.counters[self.counter] += 1
         host, port = self.address
         request = f"GET {path} HTTP/1.1\r\nhost: {host}:{port}\r\n\r\n".encode()
         try:
-            connection = await self._pool.acquire(CONNECTIONS)
+            connection = await self._pool.acquire(MAX_CONNECTIONS)
         except _upstream.ExchangeError as error:
             raise _sources.SourceError(str(error)) from error
         try:
             async with asyncio.timeout(timeout) as limit:
-                answer = await connection.start(request, lambda answer: True)
-                body = await self._whole_body(answer, limit)
+                response = await connection.start(request, lambda response: True)
+                body = await self._read_body(response, limit)
         except (_upstream.ExchangeError, TimeoutError) as error:
-            self._give_up(connection)
+            self._abandon(connection)
             raise _sources.SourceError(
                 str(error) or "no answer in time", self.progress.received
             ) from error
         except asyncio.CancelledError:
-            self._give_up(connection)
+            self._abandon(connection)
             raise
         finally:
             self.progress.end()
         self._pool.release(connection)
-        return FetchedResponse(answer.status, answer.headers, body)
+        return FetchedResponse(response.status, response.headers, body)
 
-    def _give_up(self, connection):
+    def _abandon(self, connection):
         self._pool.discard(connection)
         self.counters["sources.bytes_dropped"] += self.progress.received
 
-    async def _whole_body(self, answer, limit):
+    async def _read_body(self, response, limit):
         body = bytearray()
-        self.progress.begin(_stated_size(answer), self.now())
+        self.progress.begin(_content_length(response), self.now())
         while True:
-            limit.reschedule(asyncio.get_running_loop().time() + STALL)
-            chunk = answer.take()
+            limit.reschedule(asyncio.get_running_loop().time() + STALL_TIMEOUT_SECONDS)
+            chunk = response.take()
             self.counters["sources.bytes"] += len(chunk)
             self.progress.received += len(chunk)
             body += chunk
-            if len(body) > ANSWER_LIMIT:
+            if len(body) > MAX_RESPONSE_BYTES:
                 raise _upstream.ExchangeError(_upstream.Failure.MALFORMED)
-            if answer.complete and not answer.body:
+            if response.complete and not response.body:
                 return bytes(body)
-            if answer.error is not None:
-                raise answer.error
-            if not answer.complete:
-                await answer.changed()
+            if response.error is not None:
+                raise response.error
+            if not response.complete:
+                await response.changed()
 
     def close(self):
         """Close the idle connections."""
         self._pool.close()
 
 
-def _stated_size(answer):
-    size = answer.header(b"content-length") or b""
+def _content_length(response):
+    size = response.header(b"content-length") or b""
     return int(size) if size.isdigit() else 0
--- a/boragegw/gateway/_follower.py
+++ b/boragegw/gateway/_follower.py
@@ -171,14 +171,14 @@
         position, wait = self.catalogue.position, self._watch_seconds
         self._timeout.start(self._read_started_at)
         try:
-            answer = await self._read_hedged(
+            response = await self._read_hedged(
                 name, source, lambda s: s.watch(position, wait)
             )
         finally:
             self._timeout.stop()
-        if answer is None:
+        if response is None:
             return
-        name, result = answer
+        name, result = response
         self._source_name = name
         self._handle_success(name)
         self._watch_seconds = min(2 * self._watch_seconds, MAX_WATCH_SECONDS)
@@ -192,13 +192,13 @@
         self._is_rereading = True
         self._bytes_at_start = self._bytes_received()
         try:
-            answer = await self._read_hedged(name, source, lambda s: s.read_all())
+            response = await self._read_hedged(name, source, lambda s: s.read_all())
         finally:
             self._is_rereading = False
             self.membership.board.learning = False
-        if answer is None:
+        if response is None:
             return
-        name, result = answer
+        name, result = response
         if not self.catalogue.apply_snapshot(result) and name is not None:
             raise _sources.SourceError("it knows less than this process")
         self._handle_success(name)
--- a/boragegw/gateway/_reconciliation.py
+++ b/boragegw/gateway/_reconciliation.py
@@ -1,8 +1,8 @@
-"""Makes processes agree on servers of which the store holds an older report.
+"""Anti-entropy between processes for reports that are newer than those in the store.
 
-Who learns from another process learns its newer report too. One that has read the store
-itself does not: it sees in a heartbeat that another process retains other reports, and
-asks for them.
+A process that reads from another one receives the newer reports with the records. A
+process that reads the store does not. It detects by the digest in a heartbeat that
+another process retains other reports, and requests them.
 """
 
 import asyncio
@@ -12,16 +12,16 @@
 from boragegw import utils
 from boragegw.gateway import _sources
 
-#: Seconds between looks at what others retain.
-INTERVAL = 0.1
-#: Seconds for which a process that did not answer is not asked.
-AVOIDED = 2.0
-#: Digests that are remembered as asked for.
-REMEMBERED = 256
+#: Seconds between comparisons of the digests.
+INTERVAL_SECONDS = 0.1
+#: Seconds for which a process is avoided after a failed request.
+AVOID_SECONDS = 2.0
+#: Maximum number of digests that are remembered as already requested.
+MAX_REQUESTED_DIGESTS = 256
 
 
 def digest(records):
-    """Return a number for what is retained; 0 for nothing, as mostly.
+    """Return a checksum of the retained records; 0 if there are none, the usual case.
 
     :param records: iterable of :class:`~boragegw.gateway.Record`.
     """
@@ -32,7 +32,7 @@
 
 
 class Reconciler:
-    """Asks others for the reports that they retain.
+    """Requests the reports that other processes retain.
 
     :param peer_source: function from a peer's address to a :class:`PeerSource`.
     """
@@ -44,23 +44,23 @@
         self.now = now
         self.random_state = random_state
         self.log = log
-        self._asked = utils.Recent(REMEMBERED)
+        self._requested = utils.Recent(MAX_REQUESTED_DIGESTS)
         self._avoided = {}
 
     async def run(self):
-        """State what is retained here and ask for what others retain, for ever."""
+        """Publish the own digest and request the reports of others, forever."""
         while True:
             self.membership.own.retained = digest(self.catalogue.retained)
             member = self._next_member()
             if member is not None:
-                await self._ask(member)
-            await asyncio.sleep(INTERVAL)
+                await self._request_from(member)
+            await asyncio.sleep(INTERVAL_SECONDS)
 
     def _next_member(self):
-        """Return a process that retains what has not been asked for yet, or ``None``.
+        """Return a process that retains reports not requested yet, or ``None``.
 
-        Nothing is asked before the first reading: until then there is nothing to
-        compare it with.
+        Nothing is requested before the first read, since there is nothing to compare
+        the reports with.
         """
         if self.catalogue.position < 0:
             return None
@@ -70,25 +70,25 @@
             member
             for member in self.membership.alive()
             if member.retained not in (0, own.retained)
-            and member.retained not in self._asked
+            and member.retained not in self._requested
             and member.replica_format == own.replica_format
             and self._avoided.get(member.name, -math.inf) <= now
         ]
-        near = [m for m in members if m.data_centre == own.data_centre]
-        return self.random_state.choice(near or members) if members else None
+        local = [m for m in members if m.data_centre == own.data_centre]
+        return self.random_state.choice(local or members) if members else None
 
-    async def _ask(self, member):
+    async def _request_from(self, member):
         source = self.peer_source(member.peer_address)
         try:
-            reading = await source.read_retained()
+            result = await source.read_retained()
         except _sources.SourceError as error:
-            self._avoided[member.name] = self.now() + AVOIDED
+            self._avoided[member.name] = self.now() + AVOID_SECONDS
             self.log.event("reconciling-failed", peer=member.name, reason=str(error))
             return
         finally:
             source.close()
-        taken = self.catalogue.apply_retained(reading.records)
-        self._asked.add(member.retained, True)
+        merged = self.catalogue.apply_retained(result.records)
+        self._requested.add(member.retained, True)
         self.log.event(
-            "reconciled", peer=member.name, told=len(reading.records), taken=taken
+            "reconciled", peer=member.name, told=len(result.records), taken=merged
         )
--- a/boragegw/gateway/_replication.py
+++ b/boragegw/gateway/_replication.py
@@ -1,10 +1,12 @@
-"""How processes pass on what the platform publishes: few bytes, prepared once for all.
-
-``GET /v1/replica/records`` returns all records, ``GET /v1/replica/changes`` with
-``after``, ``misses``, ``incarnation`` and ``wait_ms`` those that have changed since, as
-soon as there are any. ``GET /v1/replica/retained`` returns those of which the store
-holds an older form. The body is a :class:`ReplicaResponse` in MessagePack; a large one
-is compressed, and a large record that changes goes as the difference to its last value.
+"""Replication of records between processes over HTTP.
+
+``GET /v1/replica/records`` returns all records. ``GET /v1/replica/changes`` with the
+query parameters ``after``, ``misses``, ``incarnation`` and ``wait_ms`` is a long poll
+that returns the records changed since ``after``. ``GET /v1/replica/retained`` returns
+the records of which the store holds an older value. The body is a
+:class:`ReplicaResponse` in MessagePack. A large body is compressed, and a large record
+that changes is sent as a delta to its previous value. Each response is encoded once for
+all followers at the same position.
 """
 
 import msgspec
@@ -14,23 +16,24 @@
 RECORDS = "/v1/replica/records"
 CHANGES = "/v1/replica/changes"
 RETAINED = "/v1/replica/retained"
-#: Seconds until an answer begins, besides the time that a watch waits.
-ANSWER_TIMEOUT = 1.0
-#: Seconds below which a watch does not wait any longer.
-LEAST_WAIT = 0.001
-#: Bytes of one record that are accepted.
-VALUE_LIMIT = 16 << 20
-#: Prepared answers that are kept, one for each position that followers ask from.
-PREPARED = 16
-HISTORY_LOST = 410
+#: Seconds until a response must begin, in addition to the waiting time of a watch.
+RESPONSE_TIMEOUT_SECONDS = 1.0
+#: Remaining seconds below which a watch returns at once.
+MIN_WAIT_SECONDS = 0.001
+#: Maximum size of a record in bytes.
+MAX_VALUE_BYTES = 16 << 20
+#: Maximum number of cached replies, one for each position of followers.
+MAX_CACHED_REPLIES = 16
+#: HTTP status of a watch whose changes are no longer available.
+HISTORY_LOST_STATUS = 410
 
 
 class RecordChange(msgspec.Struct, array_like=True, omit_defaults=True):
-    """A record, or what makes it of an earlier one.
+    """A record, either in full or as a delta.
 
     :param value: bytes, or ``None`` if the record was deleted.
-    :param base: revision of the record to which ``value`` is the difference; 0 if
-        ``value`` is whole.
+    :param base: revision of the record that the delta ``value`` applies to; 0 if
+        ``value`` is the full value.
     :param retained: as in :class:`~boragegw.gateway.Record`.
     """
 
@@ -42,10 +45,12 @@
 
 
 class ReplicaResponse(msgspec.Struct, array_like=True):
-    """The body of an answer; ``position`` as in :class:`~boragegw.gateway.ReadResult`.
+    """Body of a response.
 
+    :param position: as in :class:`~boragegw.gateway.ReadResult`.
     :param misses: see :meth:`~boragegw.gateway.Catalogue.changes`.
-    :param incarnation: of the process that answers; ``misses`` counts from its start.
+    :param incarnation: incarnation of the responding process; ``misses`` counts from
+        its start.
     :param consistent: as in :class:`~boragegw.gateway.ReadResult`.
     """
 
@@ -57,13 +62,13 @@
 
 
 class ReplicaServer:
-    """Answers the processes that follow this one.
+    """Serves the records to the processes that follow this one.
 
-    Each answer is prepared once for all that ask from the same position: with many
-    followers that is what a change costs.
+    Each response is encoded once for all followers at the same position. With many
+    followers, encoding would otherwise dominate the cost of a change.
 
     :param catalogue: a :class:`~boragegw.gateway.Catalogue`.
-    :param incarnation: drawn at the start of this process.
+    :param incarnation: random number drawn when this process starts.
     """
 
     def __init__(self, catalogue, *, now, incarnation=0):
@@ -71,65 +76,65 @@
         self.now = now
         self.incarnation = incarnation
         self._encode = msgspec.msgpack.Encoder().encode
-        self._prepared = {}
-        self._prepared_for = None
+        self._cached_replies = {}
+        self._cached_generation = None
 
     async def answer(self, request):
-        """Answer one request with a :class:`~boragegw.gateway.Reply`."""
+        """Return the :class:`~boragegw.gateway.Reply` to a request."""
         path = _endpoint.path_of(request)
         if path == RECORDS:
             return self._records()
         if path == CHANGES:
             return await self._changes(_endpoint.query_of(request))
         if path == RETAINED:
-            return self._reply(map(_whole_change, self.catalogue.retained))
+            return self._reply(map(_full_change, self.catalogue.retained))
         return _endpoint.Reply(404)
 
     def _records(self):
         if self.catalogue.position < 0:
             return _endpoint.Reply(503)
-        return self._prepare(None)
+        return self._cached_reply(None)
 
     async def _changes(self, query):
         after = int(query.get("after", "0"))
-        misses = self._misses_told(query)
+        misses = self._known_misses(query)
         end = self.now() + int(query.get("wait_ms", "0")) / 1000.0
         while True:
             try:
-                reply = self._prepare(after, misses)
+                reply = self._cached_reply(after, misses)
             except _sources.HistoryLostError:
-                return _endpoint.Reply(HISTORY_LOST)
-            left = end - self.now()
-            if self.catalogue.revision > after or left < LEAST_WAIT:
+                return _endpoint.Reply(HISTORY_LOST_STATUS)
+            remaining = end - self.now()
+            if self.catalogue.revision > after or remaining < MIN_WAIT_SECONDS:
                 return reply
-            await self.catalogue.wait_for_change(left)
+            await self.catalogue.wait_for_change(remaining)
 
-    def _misses_told(self, query):
-        """Return the follower's number of misses, 0 if another process told it."""
+    def _known_misses(self, query):
+        """Return the follower's number of misses, 0 if it is from another process."""
         incarnation = int(query.get("incarnation", self.incarnation))
         return int(query.get("misses", "0")) if incarnation == self.incarnation else 0
 
-    def _prepare(self, after, misses=None):
-        """Return the reply with what has changed after ``after``, or with all."""
-        if self.catalogue.generation != self._prepared_for:
-            self._prepared.clear()
-            self._prepared_for = self.catalogue.generation
-        asked = after, misses
-        if asked not in self._prepared:
-            if len(self._prepared) >= PREPARED:
-                self._prepared.clear()
-            self._prepared[asked] = self._make(after, misses)
-        return self._prepared[asked]
-
-    def _make(self, after, misses):
+    def _cached_reply(self, after, misses=None):
+        """Return the reply with the changes after ``after``, or with all records."""
+        if self.catalogue.generation != self._cached_generation:
+            self._cached_replies.clear()
+            self._cached_generation = self.catalogue.generation
+        key = after, misses
+        if key not in self._cached_replies:
+            if len(self._cached_replies) >= MAX_CACHED_REPLIES:
+                self._cached_replies.clear()
+            self._cached_replies[key] = self._make_reply(after, misses)
+        return self._cached_replies[key]
+
+    def _make_reply(self, after, misses):
         if after is None:
-            reading = self.catalogue.snapshot()
-            changes = map(_whole_change, reading.records)
+            result = self.catalogue.snapshot()
+            changes = map(_full_change, result.records)
         else:
-            reading = self.catalogue.changes(after, misses)
-            changes = (self._change(record, after) for record in reading.records)
-        position = max(after or 0, reading.position)
-        return self._reply(changes, position, reading.consistent)
+            result = self.catalogue.changes(after, misses)
+            changes = (self._change(record, after) for record in result.records)
+        position = max(after or 0, result.position)
+        return self._reply(changes, position, result.consistent)
 
     def _reply(self, changes, position=0, consistent=False):
         misses = self.catalogue.misses
@@ -138,27 +143,27 @@
         )
         body = self._encode(replica)
         content_type = b"application/msgpack"
-        if len(body) < _compression.LARGE:
+        if len(body) < _compression.COMPRESSION_THRESHOLD_BYTES:
             return _endpoint.Reply(200, body, content_type)
         body = _compression.compress(body)
         return _endpoint.Reply(200, body, content_type, _compression.ENCODING)
 
     def _change(self, record, after):
-        """Return a change for a process that knows everything up to ``after``."""
+        """Return the change for a process that knows all changes up to ``after``."""
         base = self.catalogue.previous(record)
         if base is None or base.revision > after:
-            return _whole_change(record)
-        difference = _compression.difference(record.value, base.value)
+            return _full_change(record)
+        delta = _compression.make_delta(record.value, base.value)
         return RecordChange(
-            record.key, record.revision, difference, base.revision, record.retained
+            record.key, record.revision, delta, base.revision, record.retained
         )
 
 
 class PeerSource(_sources.Source):
-    """Follows another process.
+    """Source that reads from another process.
 
     :param address: ``(host, port)`` of its :class:`ReplicaServer`.
-    :param catalogue: what this process knows, to which differences are applied.
+    :param catalogue: this process's catalogue, whose records are the bases of deltas.
     :param counters: the board's counters.
     """
 
@@ -172,12 +177,12 @@
 
     @property
     def progress(self):
-        """How far the present answer has arrived."""
+        """The :class:`~boragegw.gateway.Progress` of the current response."""
         return self._fetcher.progress
 
     async def read_all(self):
-        """Return a reading of all records."""
-        return await self._read(RECORDS, ANSWER_TIMEOUT)
+        """Return a result of all records."""
+        return await self._read(RECORDS, RESPONSE_TIMEOUT_SECONDS)
 
     async def watch(self, after, wait):
         """Return the changes after the position ``after``."""
@@ -185,24 +190,24 @@
         miss_count = self.catalogue.miss_count(self.address)
         if miss_count is not None:
             path += f"&misses={miss_count.misses}&incarnation={miss_count.incarnation}"
-        return await self._read(path, wait + ANSWER_TIMEOUT)
+        return await self._read(path, wait + RESPONSE_TIMEOUT_SECONDS)
 
     async def read_retained(self):
-        """Return a reading of the records that the store holds in an older form."""
-        return await self._read(RETAINED, ANSWER_TIMEOUT)
+        """Return a result of the records of which the store holds an older value."""
+        return await self._read(RETAINED, RESPONSE_TIMEOUT_SECONDS)
 
     def close(self):
         """Close the idle connections."""
         self._fetcher.close()
 
     async def _read(self, path, timeout):
-        answer = await self._fetcher.get(path, timeout)
-        if answer.status == HISTORY_LOST:
-            raise _sources.HistoryLostError(f"{path}: status {answer.status}")
-        if answer.status != 200:
-            raise _sources.SourceError(f"status {answer.status}")
+        response = await self._fetcher.get(path, timeout)
+        if response.status == HISTORY_LOST_STATUS:
+            raise _sources.HistoryLostError(f"{path}: status {response.status}")
+        if response.status != 200:
+            raise _sources.SourceError(f"status {response.status}")
         try:
-            replica = self._decode(_whole(answer))
+            replica = self._decode(_decompressed_body(response))
             records = [self._record(change) for change in replica.changes]
         except (msgspec.DecodeError, _compression.CompressionError) as error:
             raise _sources.SourceError(f"unreadable answer: {error}") from error
@@ -219,10 +224,10 @@
         base = self.catalogue.record(change.key)
         if base is None or base.revision != change.base:
             raise _sources.HistoryLostError(
-                f"{change.key} differs from revision {change.base}, which is not known"
+                f"{change.key}: delta to revision {change.base}, which is not known"
             )
         try:
-            value = _compression.apply_difference(change.value, base.value, VALUE_LIMIT)
+            value = _compression.apply_delta(change.value, base.value, MAX_VALUE_BYTES)
         except _compression.CompressionError as error:
             raise _sources.HistoryLostError(f"{change.key}: {error}") from error
         return _record(change, value)
@@ -232,11 +237,11 @@
     return _sources.Record(change.key, value, change.revision, change.retained)
 
 
-def _whole_change(record):
+def _full_change(record):
     return RecordChange(record.key, record.revision, record.value, 0, record.retained)
 
 
-def _whole(answer):
-    if (b"content-encoding", _compression.ENCODING) in answer.headers:
-        return _compression.decompress(answer.body, _fetch.ANSWER_LIMIT)
-    return answer.body
+def _decompressed_body(response):
+    if (b"content-encoding", _compression.ENCODING) in response.headers:
+        return _compression.decompress(response.body, _fetch.MAX_RESPONSE_BYTES)
+    return response.body
--- a/boragegw/gateway/_source_timeout.py
+++ b/boragegw/gateway/_source_timeout.py
@@ -72,7 +72,7 @@
     def is_slow(self, progress, link_mbps, now):
         """Return whether the read should be hedged to a second source.
 
-        If the own link is the bottleneck, the answer is no: two responses would share
+        A read that the own link limits is not hedged, since two responses would share
         the link.
 
         :param progress: :class:`~boragegw.gateway.Progress` of the current response.
--- a/boragegw/gateway/tests/test_catalogue.py
+++ b/boragegw/gateway/tests/test_catalogue.py
@@ -1,4 +1,4 @@
-"""What a process tells those that follow it, after it has read all anew."""
+"""Changes that a catalogue returns to followers after a full read."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 class Decoder(gateway.Decoder):
-    """Knows no kind of record."""
+    """Finds no content in any record."""
 
     def decode_server(self, record):
         return None
@@ -19,7 +19,7 @@
 
 
 class EventRecorder:
-    """Keeps the kinds of events."""
+    """Log that records the kinds of events."""
 
     def __init__(self):
         self.kinds = []
@@ -40,7 +40,7 @@
 
 
 def read_result(position, **revisions):
-    """Return a reading of records by key and revision; a negative one is deleted."""
+    """Return a result of records by key; a negative revision is a deletion."""
     records = [
         gateway.Record(key, b"" if revision > 0 else None, abs(revision))
         for key, revision in revisions.items()
@@ -49,12 +49,12 @@
 
 
 def changes_by_key(source, after):
-    """Return what a follower at the position ``after`` is told, by key."""
+    """Return by key the revisions that a follower at the position ``after`` gets."""
     changes = source.changes(after)
     return {r.key: r.revision if r.value is not None else None for r in changes.records}
 
 
-def test_followers_need_not_read_anew_because_their_source_has():
+def test_full_read_of_a_source_requires_no_full_read_of_its_followers():
     source = catalogue()
     source.apply_snapshot(read_result(10, a=1, b=2, c=3))
     source.apply_snapshot(read_result(20, a=1, b=12, d=15))
@@ -63,8 +63,10 @@
     assert changes_by_key(source, 20) == {}
 
 
-def test_followers_read_anew_where_their_source_had_missed_a_change():
-    """They have passed the position of the change, and no later one tells it."""
+def test_missed_change_of_a_source_requires_a_full_read_of_its_followers():
+    """The followers have passed the position of the missed change, and no later change
+    contains it.
+    """
     source = catalogue()
     source.apply_snapshot(read_result(10, a=1, b=2))
     source.apply_changes(read_result(20))
@@ -75,7 +77,7 @@
     assert changes_by_key(source, 25) == {}
 
 
-def test_followers_read_anew_where_their_source_had_missed_a_deletion():
+def test_missed_deletion_of_a_source_requires_a_full_read_of_its_followers():
     source = catalogue()
     source.apply_snapshot(read_result(10, a=1, b=2))
     source.apply_changes(read_result(20))
@@ -84,14 +86,14 @@
         source.changes(15)
 
 
-def test_position_before_the_first_reading_is_not_known():
+def test_position_before_the_first_read_is_not_available():
     source = catalogue()
     source.apply_snapshot(read_result(10, a=1))
     with pytest.raises(gateway.HistoryLostError):
         source.changes(9)
 
 
-def test_record_that_changes_often_is_told_once():
+def test_record_that_changes_often_is_returned_once():
     source = catalogue()
     source.apply_snapshot(read_result(1, a=1))
     for revision in range(2, 5000):
@@ -99,7 +101,7 @@
     assert changes_by_key(source, 1) == {"a": 4999}
 
 
-def test_deletions_are_told_as_long_as_they_are_kept():
+def test_deletions_are_returned_until_they_are_evicted():
     source = catalogue()
     source.apply_snapshot(read_result(1, a=1))
     source.apply_changes(read_result(3, a=-2, b=3))
@@ -112,7 +114,7 @@
     assert changes_by_key(source, 2998) == {"k2999": None}
 
 
-def test_key_that_is_put_again_is_no_longer_told_as_deleted():
+def test_key_that_is_put_again_is_not_returned_as_deleted():
     source = catalogue()
     source.apply_snapshot(read_result(1, a=1))
     source.apply_changes(read_result(3, a=-2))
--- a/boragegw/gateway/tests/test_replication.py
+++ b/boragegw/gateway/tests/test_replication.py
@@ -1,4 +1,4 @@
-"""What processes pass on to each other: whole, in few bytes, prepared once."""
+"""Replication between processes: completeness, size and caching of responses."""
 
 import asyncio
 import random
@@ -13,14 +13,14 @@
 
 SERVER = ("source", 1)
 KEY = "large"
-#: Bytes of a large record.
-SIZE = 300_000
-#: Bytes that control may cost a process in a second, the users' bound.
+#: Size of a large record in bytes.
+LARGE_RECORD_BYTES = 300_000
+#: Maximum control traffic of a process in bytes per second.
 CONTROL_BYTES_PER_SECOND = 14_000
 
 
 def large(seed=1):
-    return random.Random(seed).randbytes(SIZE // 2).hex().encode()
+    return random.Random(seed).randbytes(LARGE_RECORD_BYTES // 2).hex().encode()
 
 
 def snapshot(value, revision):
@@ -28,7 +28,7 @@
 
 
 class Pair:
-    """A source that others follow, and one that follows it."""
+    """A process that serves its records, and a follower of it."""
 
     def __init__(self):
         self.loop = asyncio.get_running_loop()
@@ -41,7 +41,7 @@
         )
 
     async def start(self, value):
-        """Let both know ``value`` at revision 1."""
+        """Give ``value`` at revision 1 to both."""
         endpoint = gateway.Endpoint(self.server.answer, now=self.loop.time)
         await endpoint.listen(SERVER)
         self.source.apply_snapshot(snapshot(value, 1))
@@ -49,20 +49,22 @@
         return self
 
     async def follow(self):
-        """Adopt what the source tells next."""
+        """Apply the next changes of the source to the follower."""
         reading = await self.client.watch(self.follower.position, 1.0)
         self.follower.apply_changes(reading)
 
 
 @in_memory
-async def test_all_records_arrive_whole():
+async def test_all_records_arrive_complete():
     pair = await Pair().start(large())
     assert pair.follower.record(KEY).value == large()
 
 
 @in_memory
-async def test_small_change_of_a_large_record_costs_few_bytes():
-    """Each process took the whole record, 0.3 MB, for one changed weight."""
+async def test_small_change_of_a_large_record_needs_few_bytes():
+    """Guards against each process reading the full record of 0.3 MB for one changed
+    weight.
+    """
     pair = await Pair().start(large())
     before = pair.counters["sources.bytes"]
     changed = large()[:1000] + b"x" + large()[1001:]
@@ -73,7 +75,7 @@
 
 
 @in_memory
-async def test_follower_that_missed_a_version_gets_the_record_whole():
+async def test_follower_that_missed_a_version_gets_the_full_record():
     pair = await Pair().start(large())
     for revision in range(2, 5):
         value = large() + b"%d" % revision
@@ -83,7 +85,7 @@
 
 
 @in_memory
-async def test_difference_to_a_version_that_is_not_known_is_not_applied():
+async def test_delta_to_an_unknown_version_is_not_applied():
     pair = await Pair().start(large())
     pair.follower.apply_changes(snapshot(large(2), 2))
     pair.source.apply_changes(snapshot(large() + b"x", 3))
@@ -92,11 +94,13 @@
 
 
 @in_memory
-async def test_change_is_prepared_once_for_all_that_follow(monkeypatch):
+async def test_change_is_encoded_once_for_all_followers(monkeypatch):
     calls = []
-    made = _compression.difference
+    make_delta = _compression.make_delta
     monkeypatch.setattr(
-        _compression, "difference", lambda *pair: calls.append(pair) or made(*pair)
+        _compression,
+        "make_delta",
+        lambda *pair: calls.append(pair) or make_delta(*pair),
     )
     pair = await Pair().start(large())
     pair.source.apply_changes(snapshot(large() + b"x", 2))
@@ -105,7 +109,7 @@
 
 
 @in_memory
-async def test_watch_ends_when_its_time_is_over():
+async def test_watch_ends_after_its_waiting_time():
     pair = await Pair().start(large())
     started = pair.loop.time()
     await pair.follow()
@@ -114,7 +118,7 @@
 
 
 @in_memory
-async def test_source_that_knows_nothing_yet_is_an_error():
+async def test_source_without_records_raises_an_error():
     pair = Pair()
     await gateway.Endpoint(pair.server.answer, now=pair.loop.time).listen(SERVER)
     with pytest.raises(gateway.SourceError, match="503"):
@@ -122,7 +126,7 @@
 
 
 @in_memory
-async def test_changes_that_are_not_kept_are_read_anew():
+async def test_changes_that_are_not_kept_raise_an_error():
     pair = await Pair().start(large())
     with pytest.raises(gateway.HistoryLostError):
         await pair.client.watch(0, 1.0)
--- a/boragegw/gateway/tests/test_replication_tree.py
+++ b/boragegw/gateway/tests/test_replication_tree.py
@@ -1,4 +1,4 @@
-"""Whom processes follow, in fleets of any size."""
+"""Replication trees of fleets of various sizes."""
 
 import collections
 import random
@@ -8,11 +8,11 @@
 from boragegw import gateway
 from boragegw.gateway import _replication_tree
 
-#: Mbit/s of the machines' links: a few large ones among many small ones.
-LINKS = (200.0, 200.0, 100.0, 10.0, 10.0, 10.0, 5.0, 5.0)
+#: Bandwidths of the machines' links in Mbit/s: a few fast ones among many slow ones.
+LINKS_MBPS = (200.0, 200.0, 100.0, 10.0, 10.0, 10.0, 5.0, 5.0)
 
 
-def fleet(size, links=LINKS, seed=1):
+def fleet(size, links=LINKS_MBPS, seed=1):
     random_state = random.Random(seed)
     members = [
         gateway.Member(
@@ -42,24 +42,24 @@
     }
 
 
-def steps(name, found):
+def depth(name, found):
     count = 0
     while name in found:
         name = found[name].name
         count += 1
-        assert count <= len(found), "a circle"
+        assert count <= len(found), "cycle in the replication tree"
     return count
 
 
 @pytest.mark.parametrize("size", [1, 2, 25, 100, 300, 1170])
-@pytest.mark.parametrize("links", [LINKS, (5.0,), (1000.0,)])
-def test_each_source_has_few_followers_for_its_link(size, links):
+@pytest.mark.parametrize("links", [LINKS_MBPS, (5.0,), (1000.0,)])
+def test_link_of_a_source_limits_its_followers(size, links):
     members = fleet(size, links)
     found = sources(members)
     counts = collections.Counter(source.name for source in found.values())
     for member in members:
         assert counts[member.name] <= _replication_tree.max_followers(member)
-    assert all(steps(name, found) <= 11 for name in found)
+    assert all(depth(name, found) <= 11 for name in found)
 
 
 def test_small_fleet_on_fast_links_follows_the_root():
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_processes_that_know_different_others_do_not_follow_in_a_circle(seed):
+def test_processes_that_know_different_members_do_not_form_a_cycle(seed):
     members = fleet(60, seed=seed)
     random_state = random.Random(seed)
     found = {}
@@ -76,10 +76,10 @@
         known = random_state.sample(members[1:], 30)
         others = [m for m in [members[0], *known] if m is not own]
         found[own.name] = _replication_tree.source_for(own, others)
-    assert all(steps(name, found) for name in found)
+    assert all(depth(name, found) for name in found)
 
 
-def test_source_that_no_longer_watches_may_be_followed_one_way_only():
+def test_only_one_of_two_processes_may_follow_the_other_without_a_root():
     members = fleet(2, (10.0,))
     members[0].watches_store = False
     ways = [
@@ -89,7 +89,7 @@
     assert sorted(ways) == [False, True]
 
 
-def test_nobody_is_followed_where_nobody_watches_the_store():
+def test_no_process_is_followed_without_a_root():
     members = fleet(5)
     members[0].watches_store = False
     assert set(sources(members).values()) == {None}
--- a/boragegw/gateway/tests/test_source_timeout.py
+++ b/boragegw/gateway/tests/test_source_timeout.py
@@ -1,10 +1,10 @@
-"""When a process turns to another source, and when it asks a second one beside."""
+"""Conditions under which a read is abandoned or hedged to a second source."""
 
 import pytest
 
 from boragegw.gateway import _source_timeout, _sources
 
-#: Mbit/s of the machine's link.
+#: Bandwidth of the machine's link in Mbit/s.
 LINK_MBPS = 100.0
 
 
@@ -22,14 +22,14 @@
     return progress
 
 
-def test_process_that_knows_as_much_as_the_others_waits_for_ever():
+def test_process_that_is_not_behind_waits_forever():
     timeout = _source_timeout.SourceTimeout()
     timeout.update_lag(0, 0.0)
     timeout.start(0.0)
     assert not timeout.check_expired(1000.0)
 
 
-def test_silent_source_is_left_and_the_next_is_waited_for_longer():
+def test_timeout_doubles_after_a_silent_source():
     timeout = lagging_timeout()
     assert not timeout.check_expired(0.3)
     assert timeout.check_expired(0.31)
@@ -41,8 +41,10 @@
     assert timeout.check_expired(1.31)
 
 
-def test_watch_that_began_long_ago_is_judged_from_the_news_on():
-    """Its answer may be on the way: it was left as soon as others were heard."""
+def test_timeout_of_an_old_watch_starts_when_the_process_falls_behind():
+    """Its response may be on the way. Guards against a watch that is abandoned as soon
+    as another process is ahead.
+    """
     timeout = _source_timeout.SourceTimeout()
     timeout.start(0.0)
     timeout.update_lag(1, 20.0)
@@ -50,14 +52,14 @@
     assert timeout.check_expired(20.31)
 
 
-def test_source_that_is_behind_itself_is_waited_for_longer():
+def test_source_that_is_not_ahead_gets_a_longer_timeout():
     timeout = lagging_timeout()
     timeout.set_source_ahead(is_ahead=False)
     assert not timeout.check_expired(0.8)
     assert timeout.check_expired(0.91)
 
 
-def test_no_question_is_not_given_up():
+def test_stopped_timeout_does_not_expire():
     timeout = lagging_timeout()
     timeout.stop()
     assert not timeout.check_expired(1000.0)
@@ -66,18 +68,18 @@
 @pytest.mark.parametrize(
     ("received", "size", "now", "slow"),
     [
-        (1000, 100_000, 0.4, False),  # not judged yet
+        (1000, 100_000, 0.4, False),  # too early to evaluate
         (1000, 100_000, 0.6, True),
-        (60_000, 100_000, 0.6, False),  # whole in 0.4 s
-        (2_500_000, 50_000_000, 0.6, False),  # as fast as the own link
-        (1000, 0, 0.6, False),  # the size is not stated
+        (60_000, 100_000, 0.6, False),  # complete in 0.4 s
+        (2_500_000, 50_000_000, 0.6, False),  # limited by the own link
+        (1000, 0, 0.6, False),  # unknown size
     ],
 )
-def test_second_source_is_asked_beside_a_slow_one(received, size, now, slow):
+def test_slow_response_is_hedged(received, size, now, slow):
     progress = progress_of(received, size)
     assert lagging_timeout().is_slow(progress, LINK_MBPS, now) == slow
 
 
-def test_slow_answer_matters_only_while_others_know_more():
+def test_slow_response_is_not_hedged_while_the_process_is_not_behind():
     timeout = _source_timeout.SourceTimeout()
     assert not timeout.is_slow(progress_of(1000, 100_000), LINK_MBPS, 10.0)
--- a/boragegw/platform/tests/test_sources.py
+++ b/boragegw/platform/tests/test_sources.py
@@ -340,9 +340,9 @@
     source.apply_snapshot(gateway.ReadResult([gateway.Record("a", b"{}", 1)], 1))
     source.apply_changes(gateway.ReadResult([], 100))
     server = gateway.ReplicaServer(source, now=lambda: 0.0)
-    make = server._make
-    monkeypatch.setattr(server, "_make", lambda *a: made.append(a) or make(*a))
+    make = server._make_reply
+    monkeypatch.setattr(server, "_make_reply", lambda *a: made.append(a) or make(*a))
     for _ in range(3):
         for after in range(1, 17):
-            server._prepare(after)
+            server._cached_reply(after)
     assert len(made) == 16
