--- a/boragegw/gateway/_catalogue.py
+++ b/boragegw/gateway/_catalogue.py
@@ -98,7 +98,7 @@
             unchanged, the follower has received all changes that this process knows.
         :raises HistoryLostError: if the changes are no longer available.
         """
-        self._history.check_available(after, misses)
+        self._history.check(after, misses)
         records = sorted(self._changed_after(after), key=lambda r: r.revision)
         return _sources.ReadResult(records, self._position)
 
--- a/boragegw/gateway/_history.py
+++ b/boragegw/gateway/_history.py
@@ -34,7 +34,7 @@
         """Records of deletions, the latest last."""
         return self._deletions.values()
 
-    def check_available(self, after, misses):
+    def check(self, after, misses):
         """Check that the changes after the position ``after`` are available.
 
         :param misses: see :meth:`~boragegw.gateway.Catalogue.changes`.
