--- a/boragegw/gateway/_membership.py
+++ b/boragegw/gateway/_membership.py
@@ -92,7 +92,7 @@
         self._encode = msgspec.msgpack.Encoder().encode
         self._decode = msgspec.msgpack.Decoder(_peer_messages.Datagram).decode
 
-    # Views.
+    # Queries.
 
     def alive(self):
         """Return the :class:`Member` of each other process in sight."""
@@ -119,16 +119,12 @@
         """Send a heartbeat; to be called every :data:`HEARTBEAT_INTERVAL_SECONDS`."""
         self.own.beat += 1
         self._expire_silent()
-        full_heartbeat = self._heartbeat(MAX_GOSSIP_ENTRIES)
-        full = self.own.beat % FULL_HEARTBEAT_BEATS == 0
-        regular_message = (
-            self._heartbeat(GOSSIP_ENTRIES) if full else self._update_batch()
-        )
+        introduction = self._heartbeat(MAX_GOSSIP_ENTRIES)
+        is_full = self.own.beat % FULL_HEARTBEAT_BEATS == 0
+        regular = self._heartbeat(GOSSIP_ENTRIES) if is_full else self._update_batch()
         informed = self._informed_addresses()
         for address in self._targets():
-            self._send(
-                address, regular_message if address in informed else full_heartbeat
-            )
+            self._send(address, regular if address in informed else introduction)
 
     def announce(self):
         """Send a heartbeat to all processes in sight at once, as on a planned stop."""
--- a/boragegw/gateway/_source_timeout.py
+++ b/boragegw/gateway/_source_timeout.py
@@ -32,7 +32,7 @@
         self._source_factor = 1
 
     def start(self, now):
-        """Start the timeout of a watch."""
+        """Start the timeout of a watch at ``now``, in monotonic seconds."""
         self._started_at = now
 
     def stop(self):
--- a/boragegw/gateway/tests/test_history.py
+++ b/boragegw/gateway/tests/test_history.py
@@ -93,7 +93,7 @@
 
 @in_memory
 async def test_intermediate_process_knows_whether_its_source_is_consistent():
-    """Without it, its own followers would learn of a missed change a second later."""
+    """Without the flag, followers would learn of a missed change a second later."""
     pair = await test_replication.Pair().start(b"first")
     assert not (await pair.client.read_all()).consistent
     pair.source.apply_changes(gateway.ReadResult([], 5))
