--- a/boragegw/entry/_executor.py
+++ b/boragegw/entry/_executor.py
@@ -10,7 +10,9 @@
 MOVED = (backends.Failure.CALLER, backends.Failure.CLOSED)
 MIN_STALL = 1.0
 STALL_FACTOR = 8.0
-_SKIPPED = frozenset((b"host", b"content-length", b"expect", messages.TRACEPARENT))
+_SKIPPED = frozenset(
+    (b"host", b"content-length", b"expect", messages.TRACEPARENT_HEADER)
+)
 
 
 @dataclasses.dataclass(slots=True)
@@ -37,7 +39,7 @@
     service: blackboard.ServiceState
     idempotent: bool
     harm: int
-    note: blackboard.RequestNote
+    note: blackboard.RequestRecord
     headers: list
     fingerprint: bytes = b""
     made: int = 0
@@ -80,10 +82,10 @@
     async def execute(self, request, service, idempotent, note):
         """Return the answer of a backend server.
 
-        :param note: the request's :class:`~boragegw.blackboard.RequestNote`.
+        :param note: the request's :class:`~boragegw.blackboard.RequestRecord`.
         :raises RequestError: with the verdict over all attempts.
         """
-        self.policies.retries.earn(service)
+        self.policies.retries.credit(service)
         await request.body.prefetch()
         call = self._call(request, service, idempotent, note)
         self._refuse_quarantined(call)
@@ -95,11 +97,11 @@
     def _call(self, request, service, idempotent, note):
         headers = [
             (key, value)
-            for key, value in messages.end_to_end(request.headers)
+            for key, value in messages.end_to_end_headers(request.headers)
             if key not in _SKIPPED
         ]
         if not request.body.complete:
-            length = messages.find(request.headers, b"content-length")
+            length = messages.find_header(request.headers, b"content-length")
             if length is not None:
                 headers.append((b"content-length", length))
         return _Call(
@@ -221,13 +223,13 @@
         request = call.request
         attempt_id = f"{request.request_id}-{len(call.note.attempts) + 1}"
         now = self.clock.now()
-        note = blackboard.AttemptNote(attempt_id, backend.name, reason, now)
+        note = blackboard.AttemptRecord(attempt_id, backend.name, reason, now)
         call.note.attempts.append(note)
         if not self.dispatcher.may_send(backend, request.deadline):
             self.dispatcher.release(call.service, backend)
             raise self._moved(backend, note)
         span = self.tracer.start("attempt", request.trace, backend=backend.name)
-        self.dispatcher.start(backend, attempt_id)
+        self.dispatcher.record_attempt_start(backend, attempt_id)
         self.board.counters["attempts.sent"] += 1
         answer = None
         try:
@@ -236,7 +238,7 @@
             )
         except backends.AttemptError as error:
             note.outcome, note.verdict = error.failure.value, error.verdict.value
-            self.observer.failed(call.service, backend, error)
+            self.observer.observe_failure(call.service, backend, error)
             raise
         except errors.RequestError as error:
             note.outcome, note.verdict = error.code.value, error.verdict.value
@@ -264,12 +266,12 @@
         left = request.retries_left if reason == "first" else 0
         headers = [
             *call.headers,
-            (messages.DEADLINE, str(remaining).encode()),
-            (messages.RETRIES_LEFT, str(left).encode()),
-            (messages.REQUEST_ID, request.request_id.encode()),
+            (messages.DEADLINE_HEADER, str(remaining).encode()),
+            (messages.RETRIES_LEFT_HEADER, str(left).encode()),
+            (messages.REQUEST_ID_HEADER, request.request_id.encode()),
         ]
         if span.traceparent is not None:
-            headers.append((messages.TRACEPARENT, span.traceparent))
+            headers.append((messages.TRACEPARENT_HEADER, span.traceparent))
         complete = request.body.complete
         return backends.Attempt(
             attempt_id=attempt_id,
@@ -277,7 +279,7 @@
             method=request.method,
             target=request.target,
             headers=headers,
-            content=request.body.held() if complete else None,
+            content=request.body.content() if complete else None,
             stream=None if complete else request.body.chunks(),
             deadline=request.deadline,
             idempotent=call.idempotent,
@@ -290,7 +292,7 @@
         failed = answer.status >= 500
         verdict = errors.Verdict.MAY_HAVE_RUN if failed else errors.Verdict.RAN
         note.verdict = verdict.value
-        self.observer.answered(
+        self.observer.observe_response(
             call.service, backend, latency, answer.report, answer.status
         )
 
@@ -301,16 +303,16 @@
 
         body = _bodies.HeldBody(answer.body, on_end)
         if _bodies.is_resumable(call.request, answer):
-            etag = messages.find(answer.headers, b"etag")
+            etag = messages.find_header(answer.headers, b"etag")
             body = _bodies.ResumingBody(
                 body, lambda offset: self._resume(call, backend, offset, etag)
             )
-        return messages.Answer(answer.status, answer.headers, body, verdict)
+        return messages.Response(answer.status, answer.headers, body, verdict)
 
     async def _resume(self, call, broken, offset, etag):
         """Return the body of a partial answer from ``offset`` on."""
         if not call.service.retry_budget.take(self.clock.now()):
-            raise errors.TruncatedAnswerError("no retry budget to go on")
+            raise errors.TruncatedResponseError("no retry budget to go on")
         self.board.counters["requests.resumed"] += 1
         deadline = self.clock.now() + call.service.settings.deadline
         request = dataclasses.replace(call.request, deadline=deadline)
@@ -327,7 +329,7 @@
         answer = await self._attempt(further, backend, "resume", True)
         if not _bodies.continues_at(answer, offset, etag):
             await answer.aclose()
-            raise errors.TruncatedAnswerError("the content has changed")
+            raise errors.TruncatedResponseError("the content has changed")
         return answer.body
 
     def _after_failure(self, call, error):
@@ -353,8 +355,8 @@
             call.service,
             verdict=verdict,
             idempotent=call.idempotent,
-            made=call.made,
-            left=call.request.retries_left,
+            attempts_made=call.made,
+            retries_left=call.request.retries_left,
             deadline=call.request.deadline,
             now=self.clock.now(),
         )
--- a/boragegw/entry/_home.py
+++ b/boragegw/entry/_home.py
@@ -18,7 +18,7 @@
     """
 
     outcome: asyncio.Future
-    streamed: messages.Answer | None = None
+    streamed: messages.Response | None = None
     first_waits: bool = True
 
 
@@ -95,7 +95,7 @@
             outcome = await self._collect(execution, answer)
         except errors.RequestError as error:
             outcome = error
-        except errors.TruncatedAnswerError as error:
+        except errors.TruncatedResponseError as error:
             outcome = errors.RequestError(
                 errors.Code.ATTEMPT_FAILED, error.detail, errors.Verdict.MAY_HAVE_RUN
             )
@@ -168,6 +168,6 @@
         raise outcome
     failed = outcome.status >= 500
     verdict = errors.Verdict.MAY_HAVE_RUN if failed else errors.Verdict.RAN
-    return messages.Answer.from_bytes(
+    return messages.Response.from_bytes(
         outcome.status, outcome.headers, outcome.body, verdict
     )
--- a/boragegw/gateway/_history.py
+++ b/boragegw/gateway/_history.py
@@ -25,7 +25,7 @@
         self.misses = 0
         self.start = 0
         self.consistent = False
-        self._deletions = utils.Recent(MAX_DELETIONS)
+        self._deletions = utils.BoundedDict(MAX_DELETIONS)
         self._unexplained = set()
         self._unexplained_at = -1
 
--- a/boragegw/gateway/_reconciliation.py
+++ b/boragegw/gateway/_reconciliation.py
@@ -44,7 +44,7 @@
         self.now = now
         self.random_state = random_state
         self.log = log
-        self._requested = utils.Recent(MAX_REQUESTED_DIGESTS)
+        self._requested = utils.BoundedDict(MAX_REQUESTED_DIGESTS)
         self._avoided = {}
 
     async def run(self):
--- a/boragegw/gateway/_replication_tree.py
+++ b/boragegw/gateway/_replication_tree.py
@@ -56,7 +56,7 @@
 
 def _ordered(members):
     key = members[0].data_centre
-    ranked = utils.rank(key, members, identity=lambda member: member.name)
+    ranked = utils.rendezvous_rank(key, members, identity=lambda member: member.name)
     return sorted(ranked, key=lambda member: (not is_root(member), -member.link_mbps))
 
 
--- a/boragegw/gateway/_reports.py
+++ b/boragegw/gateway/_reports.py
@@ -38,7 +38,7 @@
 
     def __init__(self):
         self._listed = {}
-        self._removed = utils.Recent(MAX_REMOVED_SERVERS)
+        self._removed = utils.BoundedDict(MAX_REMOVED_SERVERS)
 
     def newest(self, key):
         """Return the newest :class:`Report` of the server ``key``, or ``None``."""
--- a/boragegw/gateway/_source_selection.py
+++ b/boragegw/gateway/_source_selection.py
@@ -103,9 +103,9 @@
         return {
             name
             for data_centre, group in groups.items()
-            for name in utils.rank(data_centre, _names_with_fastest_link(group))[
-                :WATCHERS_PER_DATA_CENTRE
-            ]
+            for name in utils.rendezvous_rank(
+                data_centre, _names_with_fastest_link(group)
+            )[:WATCHERS_PER_DATA_CENTRE]
         }
 
     def best_peer(self):
--- a/boragegw/server/_peer_application.py
+++ b/boragegw/server/_peer_application.py
@@ -57,14 +57,14 @@
             await _reply(send, 400)
 
     def _is_signed(self, scope, *parts):
-        value = messages.find(scope["headers"], _http.SIGNATURE, b"")
+        value = messages.find_header(scope["headers"], _http.SIGNATURE, b"")
         if self.signer.verify(self.node.clock.wall(), value, *parts):
             return True
         self.node.board.counters["peers.requests_refused"] += 1
         return False
 
     async def _forward(self, scope, receive, send):
-        described = messages.find(scope["headers"], _http.FORWARD, b"")
+        described = messages.find_header(scope["headers"], _http.FORWARD, b"")
         if not self._is_signed(scope, _http.FORWARD, described):
             await _reply(send, 403)
             return
@@ -89,7 +89,7 @@
             deadline=self.node.clock.now() + remaining,
             key=key,
             retries_left=left,
-            trace=messages.find(scope["headers"], messages.TRACEPARENT),
+            trace=messages.find_header(scope["headers"], messages.TRACEPARENT_HEADER),
         )
         answer = await self.node.carrier.carry_forwarded(incarnation, request)
         if answer is None:
@@ -100,7 +100,7 @@
     async def _configuration(self, scope, receive, send):
         raw = await self._signed_body(scope, receive, send, KNOWN_LIMIT)
         if raw is not None:
-            bundle = self.node.configuration.bundle(_tables.decode_known(raw))
+            bundle = self.node.configuration.build_bundle(_tables.decode_known(raw))
             await _reply(send, 200, _tables.encode_bundle(bundle))
 
     async def _sealed(self, scope, receive, send):
@@ -145,8 +145,8 @@
 
 async def _send_answer(send, answer):
     headers = [
-        *(h for h in answer.headers if h[0] != messages.VERDICT),
-        (messages.VERDICT, answer.verdict.value.encode()),
+        *(h for h in answer.headers if h[0] != messages.VERDICT_HEADER),
+        (messages.VERDICT_HEADER, answer.verdict.value.encode()),
         (_http.FORWARD, b"answer"),
     ]
     try:
@@ -161,7 +161,7 @@
             part = {"type": "http.response.body", "body": chunk, "more_body": True}
             await send(part)
         await send({"type": "http.response.body", "body": b""})
-    except errors.TruncatedAnswerError as error:
+    except errors.TruncatedResponseError as error:
         logger.warning("forwarded answer broken off: %s", error)
     finally:
         await answer.aclose()
