--- a/boragegw/platform/tests/test_sources.py
+++ b/boragegw/platform/tests/test_sources.py
@@ -48,7 +48,7 @@
 async def test_follower_of_a_paged_source_does_not_poll_in_a_loop():
     """Pages are no snapshot: a record may be newer than the position of the read."""
     pair = await test_replication.Pair().start(b"first")
-    pair.source.adopt_snapshot(paged_read(9, 8))
+    pair.source.apply_snapshot(paged_read(9, 8))
     end = pair.loop.time() + 1.0
     calls = 0
     while pair.loop.time() < end:
@@ -61,7 +61,7 @@
 async def test_large_record_later_than_the_read_does_not_lose_the_history():
     pair = await test_replication.Pair().start(test_replication.large())
     later = test_replication.large() + b"x"
-    pair.source.adopt_snapshot(paged_read(9, 8, later))
+    pair.source.apply_snapshot(paged_read(9, 8, later))
     await pair.follow()
     await pair.follow()  # must not raise HistoryLostError, which costs a full read
 
@@ -122,10 +122,10 @@
         ],
         5,
     )
-    pair.source.adopt_snapshot(read_result)
+    pair.source.apply_snapshot(read_result)
     await pair.client.read_all()
     missed = gateway.ReadResult([gateway.Record(test_replication.KEY, b"other", 4)], 5)
-    pair.source.adopt_snapshot(missed)
+    pair.source.apply_snapshot(missed)
     found = await pair.client.read_all()
     assert {r.key: r.value for r in found.records} == {test_replication.KEY: b"other"}
 
@@ -133,10 +133,10 @@
 @in_memory
 async def test_missed_change_makes_followers_read_all_despite_a_kept_response():
     pair = await test_replication.Pair().start(b"first")
-    pair.source.adopt_changes(gateway.ReadResult([], 5))
+    pair.source.apply_changes(gateway.ReadResult([], 5))
     await pair.client.watch(3, 0.0)
     missed = gateway.ReadResult([gateway.Record(test_replication.KEY, b"other", 4)], 5)
-    pair.source.adopt_snapshot(missed)
+    pair.source.apply_snapshot(missed)
     with pytest.raises(gateway.HistoryLostError):
         await pair.client.watch(3, 0.0)
 
@@ -145,15 +145,15 @@
 async def test_missed_change_reaches_followers_at_the_same_position():
     """The followers are at the position of the read, not before it."""
     pair = await test_replication.Pair().start(b"first")
-    pair.source.adopt_changes(gateway.ReadResult([], 5))
+    pair.source.apply_changes(gateway.ReadResult([], 5))
     await pair.follow()
     assert pair.follower.position == 5
     missed = gateway.ReadResult([gateway.Record(test_replication.KEY, b"other", 4)], 5)
-    pair.source.adopt_snapshot(missed)
+    pair.source.apply_snapshot(missed)
     try:
         await pair.follow()
     except gateway.HistoryLostError:
-        pair.follower.adopt_snapshot(await pair.client.read_all())
+        pair.follower.apply_snapshot(await pair.client.read_all())
     assert pair.follower.record(test_replication.KEY).value == b"other"
 
 
@@ -188,7 +188,7 @@
     watching = [
         name
         for name, process in installation.processes.items()
-        if name != root and process.follower._following is None
+        if name != root and process.follower._source_name is None
     ]
     assert len(watching) == 1, watching
 
@@ -340,12 +340,14 @@
 def test_prepared_responses_are_kept_up_to_their_limit(monkeypatch):
     prepared = []
     source = test_catalogue.catalogue()
-    source.adopt_snapshot(gateway.ReadResult([gateway.Record("a", b"{}", 1)], 1))
-    source.adopt_changes(gateway.ReadResult([], 100))
+    source.apply_snapshot(gateway.ReadResult([gateway.Record("a", b"{}", 1)], 1))
+    source.apply_changes(gateway.ReadResult([], 100))
     server = gateway.ReplicaServer(source, now=lambda: 0.0)
-    make = server._make
-    monkeypatch.setattr(server, "_make", lambda *a: prepared.append(a) or make(*a))
+    make = server._make_reply
+    monkeypatch.setattr(
+        server, "_make_reply", lambda *a: prepared.append(a) or make(*a)
+    )
     for _ in range(3):
         for after in range(1, 17):
-            server._prepare(after)
+            server._cached_reply(after)
     assert len(prepared) == 16
