--- a/benchmarks/_rollout_replica.py
+++ b/benchmarks/_rollout_replica.py
@@ -164,7 +164,7 @@
     def __init__(self, fleet, number, random_state):
         self.loop = fleet.loop
         self.fleet = fleet
-        self.board = gateway.Board()
+        self.board = gateway.Blackboard()
         delay = random_state.uniform(*GOSSIP_DELAY)
         self.membership = Membership(fleet.gossip, number, delay, self.board)
         self.own = self.membership.own
--- a/boragegw/gateway/__init__.py
+++ b/boragegw/gateway/__init__.py
@@ -1,17 +1,22 @@
 """The lean gateway process: front, back, peers, knowledge; no platform's names."""
 
-from boragegw.gateway._asker import Asker, Place
-from boragegw.gateway._board import Board
-from boragegw.gateway._call import Call, Outcome, ServiceState, fingerprint
-from boragegw.gateway._carrier import Carrier
+from boragegw.gateway._asker import Selection, ServerSelector
+from boragegw.gateway._board import Blackboard
+from boragegw.gateway._call import (
+    AttemptOutcome,
+    RequestContext,
+    ServiceState,
+    request_fingerprint,
+)
+from boragegw.gateway._carrier import Forwarder
 from boragegw.gateway._catalogue import Catalogue
-from boragegw.gateway._dialect import Dialect, HealthAnswer
+from boragegw.gateway._dialect import Dialect, HealthResponse
 from boragegw.gateway._directory import DirectoryPolicy
-from boragegw.gateway._endpoint import Endpoint, Reply, path_of, query_of
+from boragegw.gateway._endpoint import Endpoint, EndpointResponse, path_of, query_of
 from boragegw.gateway._events import EventLog
 from boragegw.gateway._fetch import Fetched, Fetcher
 from boragegw.gateway._follower import Follower
-from boragegw.gateway._front import BodyMemory, FrontConnection, Request
+from boragegw.gateway._front import BodyMemory, CallerConnection, Request
 from boragegw.gateway._knowledge import (
     Decoder,
     HistoryLostError,
@@ -23,26 +28,32 @@
     Told,
 )
 from boragegw.gateway._membership import Membership
-from boragegw.gateway._metrics import CONTENT_TYPE, COUNTERS, Histogram, exposition
+from boragegw.gateway._metrics import CONTENT_TYPE, COUNTERS, Histogram, render_metrics
 from boragegw.gateway._peer_messages import Life, Member
 from boragegw.gateway._process import Gateway, GatewaySettings
 from boragegw.gateway._replication import PeerSource, ReplicaServer
 from boragegw.gateway._sender import Sender
-from boragegw.gateway._upstream import Answer, Connection, ExchangeError, Failure, Pool
+from boragegw.gateway._upstream import (
+    ConnectionPool,
+    ExchangeError,
+    Failure,
+    Response,
+    UpstreamConnection,
+)
 
 __all__ = [
     "CONTENT_TYPE",
     "COUNTERS",
     "Histogram",
-    "exposition",
-    "Answer",
-    "Asker",
-    "Board",
+    "render_metrics",
+    "Response",
+    "ServerSelector",
+    "Blackboard",
     "BodyMemory",
-    "Call",
-    "Carrier",
+    "RequestContext",
+    "Forwarder",
     "Catalogue",
-    "Connection",
+    "UpstreamConnection",
     "Decoder",
     "Dialect",
     "DirectoryPolicy",
@@ -53,30 +64,30 @@
     "Fetched",
     "Fetcher",
     "Follower",
-    "FrontConnection",
+    "CallerConnection",
     "Gateway",
     "GatewaySettings",
-    "HealthAnswer",
+    "HealthResponse",
     "HistoryLostError",
     "Life",
     "Member",
     "Membership",
-    "Outcome",
-    "Place",
+    "AttemptOutcome",
+    "Selection",
     "PeerSource",
-    "Pool",
+    "ConnectionPool",
     "Progress",
     "Reading",
     "Record",
     "ReplicaServer",
-    "Reply",
+    "EndpointResponse",
     "Request",
     "Sender",
     "ServiceState",
     "Source",
     "SourceError",
     "Told",
-    "fingerprint",
+    "request_fingerprint",
     "path_of",
     "query_of",
 ]
--- a/boragegw/gateway/_asker.py
+++ b/boragegw/gateway/_asker.py
@@ -23,14 +23,14 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Place:
+class Selection:
     """A backend server with a connection that has just answered.
 
     :param offer: the judged answer.
     """
 
     offer: balancing.Offer
-    connection: _upstream.Connection
+    connection: _upstream.UpstreamConnection
 
     @property
     def server(self):
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Replies:
+class _ProbeResults:
     """Places by how good they are: well, cold, and with a failing health check."""
 
     well: list = dataclasses.field(default_factory=list)
@@ -74,10 +74,10 @@
         return bool(self.asked and not self.answered)
 
 
-class Asker:
+class ServerSelector:
     """Finds a place for a request by asking candidates.
 
-    :param board: the :class:`Board`.
+    :param board: the :class:`Blackboard`.
     :param dialect: a :class:`Dialect`.
     :param policy: a :class:`~boragegw.balancing.AskingPolicy`.
     :param now: function that returns monotonic seconds.
@@ -94,7 +94,7 @@
         self._pools = {}
 
     async def place(self, search):
-        """Return a :class:`Place`, or ``None`` if no server has room.
+        """Return a :class:`Selection`, or ``None`` if no server has room.
 
         A service that was full a moment ago is asked less: its answers cost it time.
 
@@ -106,7 +106,7 @@
         candidates = balancing.usable(
             servers, now=now, evacuated=self.board.evacuated, excluded=search.tried
         )
-        replies = _Replies()
+        replies = _ProbeResults()
         questions = set()
         waves = self.policy.waves(
             candidates,
@@ -256,7 +256,7 @@
         key = server.listing.address
         pool = self._pools.get(key)
         if pool is None:
-            pool = self._pools[key] = _upstream.Pool(key, self.now)
+            pool = self._pools[key] = _upstream.ConnectionPool(key, self.now)
         return pool
 
     def connection_limit(self, service):
@@ -265,7 +265,7 @@
         return max(2, int(share))
 
     async def _ask(self, search, server):
-        """Ask one server; return a :class:`Place` or ``None``."""
+        """Ask one server; return a :class:`Selection` or ``None``."""
         service = search.service
         pool = self.pool(server)
         gauge = search.state.pace
@@ -333,7 +333,7 @@
         if not health.healthy:
             server.unwell_until = now + UNWELL_PAUSE
         offer = self.policy.judge(server, now, heavy=search.heavy)
-        return Place(offer, connection)
+        return Selection(offer, connection)
 
     async def has_crashed(self, server):
         """Return whether it is proved that nothing listens at the server's address.
--- a/boragegw/gateway/_board.py
+++ b/boragegw/gateway/_board.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Board:
+class Blackboard:
     """State that the controllers write and the request path reads.
 
     :param configuration: the configuration in force, ``None`` before the first.
--- a/boragegw/gateway/_call.py
+++ b/boragegw/gateway/_call.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendRecord:
+class AttemptRecord:
     """Why a request was sent where it was, for the log.
 
     :param cost: expected time there, in multiples of the usual time.
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Call:
+class RequestContext:
     """One request on its way.
 
     :param state: the service's :class:`ServiceState`.
@@ -35,7 +35,7 @@
     :param give_up_at: monotonic seconds at which it gets its final answer.
     :param tried: identities of the servers that it was sent to.
     :param sends: times it was sent.
-    :param records: a :class:`SendRecord` of each send.
+    :param records: a :class:`AttemptRecord` of each send.
     :param may_have_run: a send ended without proof that it did not run.
     :param quiet_since: monotonic seconds of the first send, or at which bytes of a good
         answer came last; ``None`` before the first send.
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Outcome:
+class AttemptOutcome:
     """How one send ended.
 
     :param verdict: whether the request may have run there.
@@ -106,7 +106,7 @@
         self.line = balancing.WaitingLine()
 
 
-def fingerprint(request):
+def request_fingerprint(request):
     """Return what stays the same when a caller sends a request again."""
     digest = hashlib.blake2b(digest_size=16)
     for part in (request.method, request.header(b"host") or b"", request.target):
--- a/boragegw/gateway/_carrier.py
+++ b/boragegw/gateway/_carrier.py
@@ -41,7 +41,7 @@
 LEARNING_STEP = 0.05
 
 
-class Carrier:
+class Forwarder:
     """Carries requests.
 
     :param make_budget: function that returns a fresh
@@ -138,7 +138,7 @@
         if patience is None:
             patience = math.inf
         left = min(patience - DEADLINE_MARGIN, route.timeout)
-        return _call.Call(
+        return _call.RequestContext(
             request, request_id, route, service, state, now, request.arrived + left
         )
 
--- a/boragegw/gateway/_dialect.py
+++ b/boragegw/gateway/_dialect.py
@@ -5,7 +5,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HealthAnswer:
+class HealthResponse:
     """A backend server's answer to the question for its load.
 
     :param healthy: it takes new work.
@@ -49,7 +49,7 @@
 
     @abc.abstractmethod
     def read_health(self, answer, now):
-        """Return the :class:`HealthAnswer` in ``answer``."""
+        """Return the :class:`HealthResponse` in ``answer``."""
 
     @abc.abstractmethod
     def read_report(self, answer, now):
--- a/boragegw/gateway/_endpoint.py
+++ b/boragegw/gateway/_endpoint.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reply:
+class EndpointResponse:
     """An answer of an endpoint; ``encoding`` names how the body is compressed."""
 
     status: int
@@ -23,7 +23,7 @@
 class Endpoint:
     """Serves one listening address.
 
-    :param handler: coroutine function from a request to a :class:`Reply`.
+    :param handler: coroutine function from a request to a :class:`EndpointResponse`.
     """
 
     def __init__(self, handler, *, now):
@@ -38,7 +38,7 @@
         """Accept connections on ``(host, port)`` and return the server."""
         loop = asyncio.get_running_loop()
         return await loop.create_server(
-            lambda: _front.FrontConnection(self), *address, backlog=512
+            lambda: _front.CallerConnection(self), *address, backlog=512
         )
 
     async def serve(self, request, writer):
@@ -52,7 +52,7 @@
 
     def refusal(self, status, request):
         """Return the answer to a request that was not accepted."""
-        return _bytes(Reply(status), False)
+        return _bytes(EndpointResponse(status), False)
 
 
 def _bytes(reply, keep_alive):
--- a/boragegw/gateway/_fetch.py
+++ b/boragegw/gateway/_fetch.py
@@ -45,7 +45,7 @@
         self.counters = counters
         self.counter = counter
         self.progress = _knowledge.Progress()
-        self._pool = _upstream.Pool(address, now, CONNECT_TIMEOUT)
+        self._pool = _upstream.ConnectionPool(address, now, CONNECT_TIMEOUT)
 
     async def get(self, path, patience):
         """Return the :class:`Fetched` answer to GET ``path``.
--- a/boragegw/gateway/_front.py
+++ b/boragegw/gateway/_front.py
@@ -74,7 +74,7 @@
         request.room = 0
 
 
-class FrontConnection(asyncio.Protocol):
+class CallerConnection(asyncio.Protocol):
     """One connection of a caller.
 
     :param gateway: has ``now``, ``limits``, ``stopping``, ``body_memory``,
--- a/boragegw/gateway/_metrics.py
+++ b/boragegw/gateway/_metrics.py
@@ -75,7 +75,7 @@
         self.sum += seconds
 
 
-def exposition(counters, gauges, histograms):
+def render_metrics(counters, gauges, histograms):
     """Return all metrics as the text that a scraper reads, in bytes.
 
     :param counters: values by name; names are those of :data:`COUNTERS`.
--- a/boragegw/gateway/_process.py
+++ b/boragegw/gateway/_process.py
@@ -104,14 +104,14 @@
         policies = balancing.PolicySettings(settings.policies)
         shared = {"now": self.now, "log": self.log}
         drawn = {"random_state": self.random_state, **shared}
-        self.asker = _asker.Asker(
+        self.asker = _asker.ServerSelector(
             self.board,
             self.dialect,
             policies.make("asking", data_centre=settings.data_centre),
             policies.make("warmup"),
             **drawn,
         )
-        self.carrier = _carrier.Carrier(
+        self.carrier = _carrier.Forwarder(
             self.board,
             self.dialect,
             self.asker,
@@ -228,7 +228,7 @@
         if front is not None:
             where = {"sock": front}
         listener = await loop.create_server(
-            lambda: _front.FrontConnection(self), backlog=BACKLOG, **where
+            lambda: _front.CallerConnection(self), backlog=BACKLOG, **where
         )
         self._listeners.append(listener)
         self.log.event("start", incarnation=self.own.incarnation)
--- a/boragegw/gateway/_replication.py
+++ b/boragegw/gateway/_replication.py
@@ -75,7 +75,7 @@
         self._prepared_for = None
 
     async def answer(self, request):
-        """Answer one request with a :class:`~boragegw.gateway.Reply`."""
+        """Answer one request with a :class:`~boragegw.gateway.EndpointResponse`."""
         path = _endpoint.path_of(request)
         if path == RECORDS:
             return self._records()
@@ -83,11 +83,11 @@
             return await self._changes(_endpoint.query_of(request))
         if path == RETAINED:
             return self._reply(map(_whole_change, self.catalogue.retained))
-        return _endpoint.Reply(404)
+        return _endpoint.EndpointResponse(404)
 
     def _records(self):
         if self.catalogue.position < 0:
-            return _endpoint.Reply(503)
+            return _endpoint.EndpointResponse(503)
         return self._prepare(None)
 
     async def _changes(self, query):
@@ -98,7 +98,7 @@
             try:
                 reply = self._prepare(after, misses)
             except _knowledge.HistoryLostError:
-                return _endpoint.Reply(HISTORY_LOST)
+                return _endpoint.EndpointResponse(HISTORY_LOST)
             left = end - self.now()
             if self.catalogue.revision > after or left < LEAST_WAIT:
                 return reply
@@ -137,9 +137,11 @@
         body = self._encode(replica)
         content_type = b"application/msgpack"
         if len(body) < _compression.LARGE:
-            return _endpoint.Reply(200, body, content_type)
+            return _endpoint.EndpointResponse(200, body, content_type)
         body = _compression.compress(body)
-        return _endpoint.Reply(200, body, content_type, _compression.ENCODING)
+        return _endpoint.EndpointResponse(
+            200, body, content_type, _compression.ENCODING
+        )
 
     def _change(self, record, after):
         """Return a change for a process that knows everything up to ``after``."""
--- a/boragegw/gateway/_sender.py
+++ b/boragegw/gateway/_sender.py
@@ -28,9 +28,9 @@
 class Sender:
     """Sends requests to backend servers and learns from how that ends.
 
-    :param board: the :class:`Board`.
+    :param board: the :class:`Blackboard`.
     :param dialect: a :class:`Dialect`.
-    :param asker: an :class:`Asker`.
+    :param asker: an :class:`ServerSelector`.
     :param shedding: a :class:`~boragegw.balancing.SheddingPolicy`.
     """
 
@@ -54,31 +54,31 @@
         """Return whether the request has crashed the backend servers that ran it."""
         if not self._quarantined:
             return False
-        mark = _call.fingerprint(request)
+        mark = _call.request_fingerprint(request)
         return self.quarantine.covers(self._quarantined, mark, self.now())
 
     async def send(self, call, hedge=False):
-        """Place the request and send it; return an :class:`Outcome`.
+        """Place the request and send it; return an :class:`AttemptOutcome`.
 
-        :param call: a :class:`Call`.
+        :param call: a :class:`RequestContext`.
         :param hedge: another send of the request is still running.
         """
         for _ in range(PLACINGS):
             place = await self._find_place(call, hedge)
             if place is None:
-                return _call.Outcome(Verdict.NOT_RUN, reason="no room")
+                return _call.AttemptOutcome(Verdict.NOT_RUN, reason="no room")
             server = place.server
             pool = self.asker.pool(server)
             now = self.now()
             refusal = self._refusal(call, place, now, hedge)
             if refusal:
                 pool.release(place.connection)
-                return _call.Outcome(Verdict.NOT_RUN, reason=refusal)
+                return _call.AttemptOutcome(Verdict.NOT_RUN, reason=refusal)
             if self._still_fits(call, place):
                 break
             pool.release(place.connection)
         else:
-            return _call.Outcome(Verdict.NOT_RUN, reason="places were lost")
+            return _call.AttemptOutcome(Verdict.NOT_RUN, reason="places were lost")
         call.tried.add(server.identity)
         call.sends += 1
         call.records.append(_record(call, place, now))
@@ -217,7 +217,7 @@
             )
             if reason is _upstream.Failure.RESET:
                 self._checks.start(self._check_crash(call, server), "crash check")
-            return _call.Outcome(
+            return _call.AttemptOutcome(
                 Verdict.MAY_HAVE_RUN, server=server, reason=reason.name
             )
         return self._read_answer(call, place, answer, now)
@@ -240,13 +240,13 @@
             self._observe_failure(server)
             if not answer.complete:
                 place.connection.abort()
-            return _call.Outcome(
+            return _call.AttemptOutcome(
                 Verdict.NOT_RUN, server=server, reason="server refused"
             )
         if not self.dialect.is_authentic(answer):
             place.connection.abort()
             self._observe_failure(server)
-            return _call.Outcome(
+            return _call.AttemptOutcome(
                 Verdict.MAY_HAVE_RUN, server=server, reason="not signed"
             )
         failed = answer.status >= 500
@@ -256,12 +256,14 @@
             call.state.hedging.observe(now - started)
         connection = None if answer.complete else place.connection
         reason = f"server answered {answer.status}" if failed else ""
-        return _call.Outcome(Verdict.RAN, answer, server, connection, reason=reason)
+        return _call.AttemptOutcome(
+            Verdict.RAN, answer, server, connection, reason=reason
+        )
 
     async def _check_crash(self, call, server):
         if not await self.asker.has_crashed(server):
             return
-        mark = _call.fingerprint(call.request)
+        mark = _call.request_fingerprint(call.request)
         self.log.event(
             "server-crashed",
             server=server.identity,
@@ -284,7 +286,7 @@
 
 def _record(call, place, now):
     report = place.server.report
-    return _call.SendRecord(
+    return _call.AttemptRecord(
         server=place.server.identity,
         cost=round(place.offer.cost, 2),
         slowness=round(place.server.slowness(now), 2),
--- a/boragegw/gateway/_upstream.py
+++ b/boragegw/gateway/_upstream.py
@@ -37,7 +37,7 @@
         self.failure = failure
 
 
-class Answer:
+class Response:
     """One answer while it arrives.
 
     :param status: HTTP status.
@@ -78,7 +78,7 @@
             self._changed.set_result(None)
 
 
-class Connection(asyncio.Protocol):
+class UpstreamConnection(asyncio.Protocol):
     """One connection to a backend server.
 
     :param now: function that returns monotonic seconds.
@@ -107,9 +107,9 @@
     # Called by the owner.
 
     def start(self, request, accepts, without_body=False):
-        """Send ``request`` and return a future of the :class:`Answer`'s head.
+        """Send ``request`` and return a future of the :class:`Response`'s head.
 
-        :param accepts: function from an :class:`Answer` to whether it belongs to
+        :param accepts: function from an :class:`Response` to whether it belongs to
             this request. An answer that does not is read and dropped: a backend
             server may send an answer a second time, late, where the next is due.
         :param without_body: answers to the request's method have no body.
@@ -207,7 +207,7 @@
         status = self._parser.get_status_code()
         if self._head is None or status < 200:
             return
-        answer = Answer(status, self._headers)
+        answer = Response(status, self._headers)
         self._foreign = not self._accepts(answer)
         if self._foreign:
             return
@@ -300,7 +300,7 @@
 CONNECT_TIMEOUT = 0.25
 
 
-class Pool:
+class ConnectionPool:
     """Connections to one backend server.
 
     :param address: ``(host, port)``.
@@ -358,7 +358,7 @@
         try:
             async with asyncio.timeout(self.connect_timeout):
                 _, connection = await loop.create_connection(
-                    lambda: Connection(self.now), *self.address
+                    lambda: UpstreamConnection(self.now), *self.address
                 )
         except (ConnectionRefusedError, ConnectionResetError) as error:
             self._open -= 1
--- a/boragegw/gateway/tests/test_catalogue.py
+++ b/boragegw/gateway/tests/test_catalogue.py
@@ -30,7 +30,7 @@
 
 def catalogue(decoder=None):
     return gateway.Catalogue(
-        gateway.Board(),
+        gateway.Blackboard(),
         decoder or Decoder(),
         now=lambda: 0.0,
         log=Lines(),
--- a/boragegw/gateway/tests/test_front.py
+++ b/boragegw/gateway/tests/test_front.py
@@ -73,7 +73,7 @@
 
 
 def connect(process):
-    connection = gateway.FrontConnection(process)
+    connection = gateway.CallerConnection(process)
     transport = Transport()
     connection.connection_made(transport)
     return connection, transport
--- a/boragegw/gateway/tests/test_membership.py
+++ b/boragegw/gateway/tests/test_membership.py
@@ -31,7 +31,7 @@
             life=gateway.Life.READY,
         )
         process = gateway.Membership(
-            gateway.Board(),
+            gateway.Blackboard(),
             own,
             lambda: [("p0", 2)],
             now=lambda: self.now,
--- a/boragegw/gateway/tests/test_replication.py
+++ b/boragegw/gateway/tests/test_replication.py
@@ -34,7 +34,7 @@
         self.loop = asyncio.get_running_loop()
         self.source = test_catalogue.catalogue()
         self.follower = test_catalogue.catalogue()
-        self.counters = gateway.Board().counters
+        self.counters = gateway.Blackboard().counters
         self.server = gateway.ReplicaServer(self.source, now=self.loop.time)
         self.client = gateway.PeerSource(
             SERVER, self.follower, now=self.loop.time, counters=self.counters
--- a/boragegw/gateway/tests/test_upstream.py
+++ b/boragegw/gateway/tests/test_upstream.py
@@ -39,7 +39,7 @@
 async def exchange(pieces, end=None, then=b""):
     """Return (body or failure, whether the connection is used again)."""
     loop = asyncio.get_running_loop()
-    connection = gateway.Connection(loop.time)
+    connection = gateway.UpstreamConnection(loop.time)
     connection.connection_made(Transport())
     head = connection.start(b"request", lambda answer: answer.header(b"id") == b"a")
     for piece in pieces:
--- a/boragegw/platform/_dialect.py
+++ b/boragegw/platform/_dialect.py
@@ -86,10 +86,10 @@
         return not 200 <= answer.status < 300
 
     def read_health(self, answer, now):
-        """Return the :class:`~boragegw.gateway.HealthAnswer` in ``answer``."""
+        """Return the :class:`~boragegw.gateway.HealthResponse` in ``answer``."""
         identity = _value(answer.headers, _names.SERVER_IDENTITY)
         cold = _value(answer.headers, _names.COLD_MS)
-        return gateway.HealthAnswer(
+        return gateway.HealthResponse(
             healthy=answer.status == 200,
             identity="" if identity is None else identity.decode("latin-1"),
             report=self.read_report(answer, now),
--- a/boragegw/platform/_endpoints.py
+++ b/boragegw/platform/_endpoints.py
@@ -10,7 +10,7 @@
 #: left: some keep an answer three times as long as told.
 KEEP_FOR = 3.0
 
-NOT_FOUND = gateway.Reply(404)
+NOT_FOUND = gateway.EndpointResponse(404)
 
 
 class Resolution(msgspec.Struct):
@@ -48,7 +48,7 @@
         """Answer 200 while requests are accepted."""
         if gateway.path_of(request) != "/v1/ready":
             return NOT_FOUND
-        return gateway.Reply(200 if self.process.board.ready else 503)
+        return gateway.EndpointResponse(200 if self.process.board.ready else 503)
 
     async def resolve(self, request):
         """Name the addresses that a caller should use."""
@@ -57,9 +57,9 @@
         data_centre = gateway.query_of(request).get("zone", "")
         addresses = self.process.entries_for(data_centre)
         if not addresses:
-            return gateway.Reply(503)
+            return gateway.EndpointResponse(503)
         body = msgspec.json.encode(Resolution(addresses, self.keep_for))
-        return gateway.Reply(200, body)
+        return gateway.EndpointResponse(200, body)
 
     async def status(self, request):
         """Show operators what this process knows and does."""
@@ -77,7 +77,7 @@
             servers=len(process.board.servers),
             counters=dict(process.board.counters),
         )
-        return gateway.Reply(200, msgspec.json.encode(status))
+        return gateway.EndpointResponse(200, msgspec.json.encode(status))
 
     async def metrics(self, request):
         """Show scrapers counters, gauges and latency histograms."""
@@ -97,5 +97,5 @@
             "store_lag": process.follower.lag,
             "connections": len(process.connections),
         }
-        text = gateway.exposition(board.counters, gauges, board.histograms)
-        return gateway.Reply(200, text, gateway.CONTENT_TYPE)
+        text = gateway.render_metrics(board.counters, gauges, board.histograms)
+        return gateway.EndpointResponse(200, text, gateway.CONTENT_TYPE)
--- a/boragegw/platform/_process.py
+++ b/boragegw/platform/_process.py
@@ -21,7 +21,7 @@
     :param log: an :class:`~boragegw.gateway.EventLog`.
     :param now: function that returns monotonic seconds.
     """
-    board = gateway.Board()
+    board = gateway.Blackboard()
     return gateway.Gateway(
         settings.gateway,
         _dialect.PlatformDialect(),
--- a/boragegw/platform/tests/test_slow_sources.py
+++ b/boragegw/platform/tests/test_slow_sources.py
@@ -96,7 +96,7 @@
 
     class Forgetful(_wire_store.WireStore):
         async def _watch(self, query):
-            return gateway.Reply(410)
+            return gateway.EndpointResponse(410)
 
     installation = await test_sources.world(Forgetful(("store", 1)))
     installation.publish([standins.WireWorld.route()])
--- a/boragegw/platform/tests/test_sources.py
+++ b/boragegw/platform/tests/test_sources.py
@@ -25,7 +25,7 @@
         await asyncio.sleep(self.delay)
         if self.failing and (self.calls + 1) % self.failing == 0:
             self.calls += 1
-            return gateway.Reply(503)
+            return gateway.EndpointResponse(503)
         return await super()._handle(request)
 
 
@@ -290,7 +290,7 @@
     root = next(n for n, p in _all(installation) if p.own.watches_store)
 
     async def former(request):
-        return gateway.Reply(404)
+        return gateway.EndpointResponse(404)
 
     installation.processes[root].own.replica_format = 0
     await asyncio.sleep(5.0)
@@ -314,7 +314,7 @@
     class Restored(_wire_store.WireStore):
         async def _watch(self, query):
             if int(query["after"]) > self.revision:
-                return gateway.Reply(410)
+                return gateway.EndpointResponse(410)
             return await super()._watch(query)
 
     store = Restored(("store", 1))
--- a/boragegw/platform/tests/test_stalled_answers.py
+++ b/boragegw/platform/tests/test_stalled_answers.py
@@ -127,7 +127,7 @@
 async def delivered(pauses, give_up_after, writer=None):
     """Pass on an answer of parts with pauses in seconds; return what was written."""
     loop = asyncio.get_running_loop()
-    answer = gateway.Answer(200, [])
+    answer = gateway.Response(200, [])
     request = gateway.Request(left=loop.create_future())
     writer = writer or Writer()
     delivery = asyncio.create_task(
--- a/boragegw/platform/tests/test_time_limits.py
+++ b/boragegw/platform/tests/test_time_limits.py
@@ -13,7 +13,7 @@
 
 async def upload(installation, body, seconds, deadline_ms):
     """Send a request whose body takes ``seconds``; return the answer's status."""
-    client = gateway.Connection(installation.loop.time)
+    client = gateway.UpstreamConnection(installation.loop.time)
     await installation.loop.create_connection(lambda: client, *FRONT)
     headers = {"x-request-id": "slow", "x-deadline-ms": str(deadline_ms)}
     whole = standins.request_bytes("/up", "POST", body, headers)
--- a/boragegw/standins/_wire_http.py
+++ b/boragegw/standins/_wire_http.py
@@ -14,7 +14,7 @@
     """One connection.
 
     :param handler: coroutine function from a request's target (bytes) to a
-        :class:`~boragegw.gateway.Reply`.
+        :class:`~boragegw.gateway.EndpointResponse`.
     """
 
     def __init__(self, handler):
--- a/boragegw/standins/_wire_store.py
+++ b/boragegw/standins/_wire_store.py
@@ -67,14 +67,14 @@
         if self.hang:
             await asyncio.sleep(3600)
         if self.status is not None:
-            return gateway.Reply(self.status)
+            return gateway.EndpointResponse(self.status)
         path, _, text = target.decode().partition("?")
         query = dict(urllib.parse.parse_qsl(text, keep_blank_values=True))
         if path == "/v1/kv-range":
             return self._range(query)
         if path == "/v1/kv-watch":
             return await self._watch(query)
-        return gateway.Reply(404)
+        return gateway.EndpointResponse(404)
 
     def _range(self, query):
         prefix = query.get("prefix", "")
@@ -92,7 +92,7 @@
             await asyncio.sleep(max(0.0, end - loop.time()))
         while True:
             if after < self.history_from:
-                return gateway.Reply(410)
+                return gateway.EndpointResponse(410)
             events = [e for e in self._events if e["rev"] > after]
             left = end - loop.time()
             if events or left < 0.001:
@@ -103,4 +103,4 @@
 
 
 def _json(body):
-    return gateway.Reply(200, json.dumps(body).encode())
+    return gateway.EndpointResponse(200, json.dumps(body).encode())
--- a/boragegw/standins/_wire_world.py
+++ b/boragegw/standins/_wire_world.py
@@ -163,7 +163,7 @@
     async def ask(self, address, path, method="GET", body=b"", headers=None):
         """Send one request to any address."""
         started = self.loop.time()
-        client = gateway.Connection(self.loop.time)
+        client = gateway.UpstreamConnection(self.loop.time)
         try:
             await self.loop.create_connection(lambda: client, *address)
             answer = await client.start(
