--- a/boragegw/gateway/_process.py
+++ b/boragegw/gateway/_process.py
@@ -36,13 +36,13 @@
 class GatewaySettings:
     """What a gateway process needs to know at its start.
 
-    :param front: ``(host, port)`` for callers.
-    :param peer: ``(host, port)`` for other processes, TCP and UDP.
+    :param caller_address: ``(host, port)`` for callers.
+    :param peer_address: ``(host, port)`` for other processes, TCP and UDP.
     :param seeds: hosts on which other processes may run.
-    :param stop_time: seconds from SIGTERM until the process is killed.
-    :param link: megabits a second of the machine's link.
-    :param first_start: the whole system starts for the first time, without callers.
-    :param repeat_ratio: see :class:`~boragegw.balancing.RepeatBudget`.
+    :param shutdown_timeout: seconds from SIGTERM until the process is killed.
+    :param link_mbps: megabits a second of the machine's link.
+    :param bootstrap: the whole system starts for the first time, without callers.
+    :param retry_budget_ratio: see :class:`~boragegw.balancing.RepeatBudget`.
     :param probe_rate: questions per backend server and second of the whole fleet.
     :param policies: parameters of policies that differ from their defaults, see
         :class:`~boragegw.balancing.PolicySettings`.
@@ -50,15 +50,15 @@
 
     name: str
     data_centre: str
-    front: tuple
-    peer: tuple
+    caller_address: tuple
+    peer_address: tuple
     seeds: tuple
-    stop_time: float = 6.0
-    link: float = 1000.0
-    first_start: bool = False
-    repeat_ratio: float = 0.2
-    repeat_window: float = 10.0
-    repeat_slack: float = 50.0
+    shutdown_timeout: float = 6.0
+    link_mbps: float = 1000.0
+    bootstrap: bool = False
+    retry_budget_ratio: float = 0.2
+    retry_budget_window: float = 10.0
+    retry_budget_slack: float = 50.0
     probe_rate: float = 60.0
     policies: dict = dataclasses.field(default_factory=dict)
 
@@ -132,9 +132,9 @@
             incarnation=int.from_bytes(os.urandom(8), "big") >> 1,
             beat=0,
             data_centre=settings.data_centre,
-            front=_joined(settings.front),
-            peer=_joined(settings.peer),
-            link=settings.link,
+            front=_joined(settings.caller_address),
+            peer=_joined(settings.peer_address),
+            link=settings.link_mbps,
             replica_format=_peer_messages.REPLICA_FORMAT,
         )
         self.membership = _membership.Membership(
@@ -145,7 +145,7 @@
             self.membership,
             store,
             self._peer_source,
-            first_start=settings.first_start,
+            first_start=settings.bootstrap,
             **drawn,
         )
         self.reconciler = _reconciliation.Reconciler(
@@ -162,7 +162,9 @@
     def _make_budget(self):
         settings = self.settings
         return balancing.RepeatBudget(
-            settings.repeat_ratio, settings.repeat_slack, settings.repeat_window
+            settings.retry_budget_ratio,
+            settings.retry_budget_slack,
+            settings.retry_budget_window,
         )
 
     def _peer_source(self, address):
@@ -175,7 +177,7 @@
         )
 
     def _seed_addresses(self):
-        port = self.settings.peer[1]
+        port = self.settings.peer_address[1]
         return [(host, port) for host in self._seeds]
 
     # What the front's connections use.
@@ -215,18 +217,18 @@
 
     # Life.
 
-    async def start(self, front=None):
+    async def start(self, caller_socket=None):
         """Listen and begin to learn.
 
-        :param front: a socket that listens for callers already, or ``None``.
+        :param caller_socket: a socket that listens for callers already, or ``None``.
         """
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
-            lambda: self.membership, local_addr=self.settings.peer
+            lambda: self.membership, local_addr=self.settings.peer_address
         )
-        where = dict(zip(("host", "port"), self.settings.front, strict=True))
-        if front is not None:
-            where = {"sock": front}
+        where = dict(zip(("host", "port"), self.settings.caller_address, strict=True))
+        if caller_socket is not None:
+            where = {"sock": caller_socket}
         listener = await loop.create_server(
             lambda: _front.CallerConnection(self), backlog=BACKLOG, **where
         )
@@ -290,11 +292,11 @@
         self.own.watches_store = False
         self.membership.announce()
         self.log.event("stopping", connections=len(self.connections))
-        await self._sleep_until(started + ACCEPT_SHARE * self.settings.stop_time)
+        await self._sleep_until(started + ACCEPT_SHARE * self.settings.shutdown_timeout)
         for listener in self._listeners:
             listener.close()
         self._close_idle()
-        end = started + END_SHARE * self.settings.stop_time
+        end = started + END_SHARE * self.settings.shutdown_timeout
         while self.connections and self.now() < end:
             await asyncio.sleep(0.02)
             self._close_idle()
--- a/boragegw/platform/_process.py
+++ b/boragegw/platform/_process.py
@@ -40,7 +40,7 @@
     wanted = [
         (endpoints.ready, settings.ready),
         (endpoints.resolve, settings.directory),
-        (process.replicas.answer, settings.gateway.peer),
+        (process.replicas.answer, settings.gateway.peer_address),
     ]
     if settings.control is not None:
         wanted.append((endpoints.status, settings.control))
@@ -91,7 +91,7 @@
         if self.front is None:
             return None
         listener = socket.socket(fileno=self.front)
-        if listener.getsockname() == self._settings.gateway.front:
+        if listener.getsockname() == self._settings.gateway.caller_address:
             return listener
         listener.close()
         return None
--- a/boragegw/platform/tests/test_knowledge.py
+++ b/boragegw/platform/tests/test_knowledge.py
@@ -189,7 +189,7 @@
     installation.publish([installation.route()])
     await installation.add_backend("i-0")
     for number in range(8):
-        await installation.add_gateway(f"gw-{number}", first_start=True)
+        await installation.add_gateway(f"gw-{number}", bootstrap=True)
     await asyncio.sleep(6.0)
     assert all(p.board.ready for p in installation.processes.values())
     assert installation.store.calls <= 6
@@ -205,7 +205,7 @@
     installation.publish([installation.route()])
     for number in range(6):
         link = 100.0 if number == 4 else 5.0
-        await installation.add_gateway(f"gw-{number}", link=link, first_start=True)
+        await installation.add_gateway(f"gw-{number}", link_mbps=link, bootstrap=True)
     await asyncio.sleep(6.0)
     watching = [
         name for name, p in installation.processes.items() if p.own.watches_store
--- a/boragegw/platform/tests/test_large_configuration.py
+++ b/boragegw/platform/tests/test_large_configuration.py
@@ -38,7 +38,7 @@
         await installation.add_backend(f"i-{number}")
     for number in range(GATEWAYS):
         rate = FAST if number == 3 else link
-        await installation.add_gateway(f"gw-{number}", link=rate, limited=True)
+        await installation.add_gateway(f"gw-{number}", link_mbps=rate, limited=True)
     await asyncio.sleep(SETTLED)
     assert late(installation) == []
     return installation
@@ -94,7 +94,7 @@
 async def test_process_on_a_slow_link_starts_in_time_with_a_large_configuration():
     routes = standins.many_routes(ROUTES)
     installation = await settled(routes, SLOW)
-    process = await installation.add_gateway("gw-new", link=SLOW, limited=True)
+    process = await installation.add_gateway("gw-new", link_mbps=SLOW, limited=True)
     await asyncio.sleep(START)
     assert process.board.ready
     assert await refusing(installation, routes[0]) == []
@@ -109,7 +109,7 @@
     backend = await installation.add_backend("i-0")
     for number in range(ENTRIES):
         installation.store.put(f"servers/i-x{number}", backend.entry("other"))
-    process = await installation.add_gateway("gw-0", link=SLOW, limited=True)
+    process = await installation.add_gateway("gw-0", link_mbps=SLOW, limited=True)
     await asyncio.sleep(START)
     assert process.board.ready
 
@@ -162,7 +162,7 @@
     routes = standins.many_routes(ROUTES)
     installation.publish(routes)
     await installation.add_backend("i-0")
-    await installation.add_gateway("gw-0", link=2.0, limited=True)
+    await installation.add_gateway("gw-0", link_mbps=2.0, limited=True)
     await asyncio.sleep(0.5)
     arguments = {"path": f"{routes[0]['prefix']}x", "host": routes[0]["host"]}
     patient = installation.call(**arguments, x_deadline_ms="2500")
--- a/boragegw/platform/tests/test_settings.py
+++ b/boragegw/platform/tests/test_settings.py
@@ -49,9 +49,9 @@
 def test_valid_settings_are_read_and_unknown_ones_ignored(tmp_path):
     settings = platform.load_settings(write(tmp_path, VALID))
     assert settings.gateway.name == "front-a-1"
-    assert settings.gateway.peer == ("10.1.0.34", 7540)
+    assert settings.gateway.peer_address == ("10.1.0.34", 7540)
     assert settings.gateway.seeds == ("10.1.0.34", "10.2.0.34")
-    assert settings.gateway.repeat_slack == 62.0
+    assert settings.gateway.retry_budget_slack == 62.0
     assert settings.store == ("10.200.1.7", 8541)
 
 
@@ -141,7 +141,7 @@
     path = write(tmp_path, text)
     assert platform.is_settings(path)
     settings = platform.load_settings(path)
-    assert settings.gateway.front == ("10.1.0.34", 8548)
+    assert settings.gateway.caller_address == ("10.1.0.34", 8548)
     assert settings.metrics == ("10.1.0.34", 7541)
 
 
--- a/boragegw/platform/tests/test_slow_sources.py
+++ b/boragegw/platform/tests/test_slow_sources.py
@@ -74,7 +74,7 @@
     await installation.add_backend("i-0")
     for number in range(30):
         rate = 200.0 if number == 0 else 1.0
-        await installation.add_gateway(f"gw-{number}", link=rate, limited=True)
+        await installation.add_gateway(f"gw-{number}", link_mbps=rate, limited=True)
     await asyncio.sleep(10.0)
     assert test_large_configuration.late(installation) == []
     before = installation.store.calls
--- a/boragegw/platform/tests/test_sources.py
+++ b/boragegw/platform/tests/test_sources.py
@@ -238,7 +238,7 @@
     await installation.add_backend("i-0")
     for number in range(3):
         rate = 200.0 if number == 0 else 100.0
-        await installation.add_gateway(f"gw-{number}", link=rate)
+        await installation.add_gateway(f"gw-{number}", link_mbps=rate)
     await asyncio.sleep(10.0)
     assert installation.processes["gw-0"].own.watches_store
     installation.network.set_link("gw-0", 0.02)
--- a/boragegw/standins/_wire_world.py
+++ b/boragegw/standins/_wire_world.py
@@ -123,8 +123,8 @@
             gateway=gateway.GatewaySettings(
                 name=name,
                 data_centre=data_centre,
-                front=(name, FRONT_PORT),
-                peer=(name, PEER_PORT),
+                caller_address=(name, FRONT_PORT),
+                peer_address=(name, PEER_PORT),
                 seeds=tuple(seeds),
                 **fields,
             ),
@@ -136,7 +136,7 @@
             keep_for=5.0,
         )
         if limited:
-            self.network.set_link(name, settings.gateway.link)
+            self.network.set_link(name, settings.gateway.link_mbps)
         return await asyncio.create_task(self._start_gateway(settings))
 
     async def _start_gateway(self, settings):
