--- a/boragegw/gateway/_asker.py
+++ b/boragegw/gateway/_asker.py
@@ -54,7 +54,7 @@
     :param service: :class:`~boragegw.balancing.ServiceSettings`.
     :param state: the service's :class:`ServiceState`.
     :param tried: identities of servers that are not asked.
-    :param give_up_at: monotonic seconds.
+    :param deadline: monotonic seconds.
     :param heavy: the answer is large, so the own data centre comes first.
     :param asked: servers that were asked.
     :param answered: servers that have answered.
@@ -63,7 +63,7 @@
     service: object
     state: object
     tried: set
-    give_up_at: float
+    deadline: float
     heavy: bool = False
     asked: int = 0
     answered: int = 0
@@ -110,7 +110,7 @@
         questions = set()
         waves = self.policy.waves(
             candidates,
-            allowed=state.probes.left(now, len(servers), self.board.processes),
+            allowed=state.probe_budget.left(now, len(servers), self.board.processes),
             fullness=state.fullness.share(now),
             heavy=search.heavy,
             now=now,
@@ -119,12 +119,12 @@
         )
         try:
             for wave in waves:
-                state.probes.take(len(wave))
+                state.probe_budget.take(len(wave))
                 search.asked += len(wave)
                 questions |= {self._start(search, server) for server in wave}
                 if await self._collect(questions, replies, WAVE_TIMEOUT):
                     break
-                if self.now() >= search.give_up_at:
+                if self.now() >= search.deadline:
                     break
             if not replies.well and questions:
                 await self._collect(questions, replies, ANSWER_TIMEOUT)
@@ -280,8 +280,10 @@
         asked_at = self.now()
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT):
-                question = self.dialect.health_question(service, server)
-                answer = await connection.start(question, self.dialect.answers_health)
+                question = self.dialect.health_request(service, server)
+                answer = await connection.start(
+                    question, self.dialect.is_health_response
+                )
                 while not answer.complete:
                     if answer.error is not None:
                         raise answer.error
@@ -318,7 +320,7 @@
     def _judge(self, search, server, connection, answer):
         now = self.now()
         search.answered += 1
-        health = self.dialect.read_health(answer, now)
+        health = self.dialect.parse_health(answer, now)
         if health.identity and health.identity != server.identity:
             server.moved = True
             self.log.event(
--- a/boragegw/gateway/_board.py
+++ b/boragegw/gateway/_board.py
@@ -18,7 +18,7 @@
         catalogue; the carrier writes what it learns of each.
     :param by_service: lists of the same servers. Writer: the catalogue.
     :param evacuated: data centres that are taken out. Writer: the catalogue.
-    :param learning: the first reading is arriving. Writer: the follower.
+    :param loading_snapshot: the first reading is arriving. Writer: the follower.
     :param behind: this process knows less than another one. Writer: the follower.
     :param processes: gateway processes that may be alive, this one included.
         Writer: membership.
@@ -33,7 +33,7 @@
     servers: dict = dataclasses.field(default_factory=dict)
     by_service: dict = dataclasses.field(default_factory=dict)
     evacuated: frozenset = frozenset()
-    learning: bool = False
+    loading_snapshot: bool = False
     behind: bool = False
     processes: int = 1
     stopping: bool = False
--- a/boragegw/gateway/_call.py
+++ b/boragegw/gateway/_call.py
@@ -32,7 +32,7 @@
     :param state: the service's :class:`ServiceState`.
     :param admitted_at: monotonic seconds at which it was whole, its turn had come on
         its connection, and its route was known.
-    :param give_up_at: monotonic seconds at which it gets its final answer.
+    :param deadline: monotonic seconds at which it gets its final answer.
     :param tried: identities of the servers that it was sent to.
     :param sends: times it was sent.
     :param records: a :class:`AttemptRecord` of each send.
@@ -47,7 +47,7 @@
     service: balancing.ServiceSettings
     state: object
     admitted_at: float
-    give_up_at: float
+    deadline: float
     tried: set = dataclasses.field(default_factory=set)
     sends: int = 0
     records: list = dataclasses.field(default_factory=list)
@@ -91,14 +91,14 @@
 class ServiceState:
     """What this process has learned of one service.
 
-    :param budget: a :class:`~boragegw.balancing.RepeatBudget`.
-    :param probes: a :class:`~boragegw.balancing.ProbeBudget`.
+    :param retry_budget: a :class:`~boragegw.balancing.RepeatBudget`.
+    :param probe_budget: a :class:`~boragegw.balancing.ProbeBudget`.
     :param policies: a :class:`~boragegw.balancing.PolicySettings`.
     """
 
-    def __init__(self, budget, probes, policies):
-        self.budget = budget
-        self.probes = probes
+    def __init__(self, retry_budget, probe_budget, policies):
+        self.retry_budget = retry_budget
+        self.probe_budget = probe_budget
         self.hedging = policies.make("hedging")
         self.fullness = balancing.Fullness()
         self.pace = policies.make("pace")
--- a/boragegw/gateway/_carrier.py
+++ b/boragegw/gateway/_carrier.py
@@ -54,7 +54,7 @@
         self,
         board,
         dialect,
-        asker,
+        selector,
         make_budget,
         make_probe_budget,
         policies,
@@ -65,7 +65,7 @@
     ):
         self.board = board
         self.dialect = dialect
-        self.asker = asker
+        self.selector = selector
         self.make_budget = make_budget
         self.make_probe_budget = make_probe_budget
         self.policies = policies
@@ -74,13 +74,13 @@
         self.log = log
         self.shedding = policies.make("shedding")
         self.sender = _sender.Sender(
-            board, dialect, asker, self.shedding, now=now, log=log
+            board, dialect, selector, self.shedding, now=now, log=log
         )
         self._services = {}
         self._turns = {}
         self._learning_until = now() + FIRST_LEARNING
 
-    async def carry(self, request, writer):
+    async def forward(self, request, writer):
         """Serve one request and write its answer."""
         await self._wait_for_configuration(request)
         call = self._admit(request, writer)
@@ -94,13 +94,15 @@
         """Wait for the first configuration while it is sure to come soon."""
         if self.board.configuration is not None:
             return
-        patience = self.dialect.patience(request.headers)
-        if patience is None:
+        caller_timeout = self.dialect.caller_timeout(request.headers)
+        if caller_timeout is None:
             end = self.now() + FIRST_LEARNING
         else:
-            end = request.arrived + patience - DEADLINE_MARGIN
+            end = request.arrived + caller_timeout - DEADLINE_MARGIN
         while self.board.configuration is None and (left := end - self.now()) > 0:
-            over = self.now() >= self._learning_until and not self.board.learning
+            over = (
+                self.now() >= self._learning_until and not self.board.loading_snapshot
+            )
             if over or request.caller_gone:
                 return
             with contextlib.suppress(TimeoutError):  # looked at anew
@@ -131,13 +133,13 @@
             self._refuse(request, request_id, writer, 503, RETRY_UNKNOWN_SERVICE)
             return None
         now = self.now()
-        state = self.state(service.name)
-        state.budget.observe_request(now)
+        state = self.service_state(service.name)
+        state.retry_budget.observe_request(now)
         state.ranks.observe(route.priority, now)
-        patience = self.dialect.patience(request.headers)
-        if patience is None:
-            patience = math.inf
-        left = min(patience - DEADLINE_MARGIN, route.timeout)
+        caller_timeout = self.dialect.caller_timeout(request.headers)
+        if caller_timeout is None:
+            caller_timeout = math.inf
+        left = min(caller_timeout - DEADLINE_MARGIN, route.timeout)
         return _call.RequestContext(
             request, request_id, route, service, state, now, request.arrived + left
         )
@@ -154,7 +156,7 @@
             self._turns[route.name] = (route.parts, turns)
         return turns.next_service()
 
-    def state(self, service_name):
+    def service_state(self, service_name):
         """Return the :class:`ServiceState` of a service."""
         state = self._services.get(service_name)
         if state is None:
@@ -175,7 +177,7 @@
         try:
             while sends and winner is None:
                 now = self.now()
-                if now >= call.give_up_at:
+                if now >= call.deadline:
                     break
                 if self._left(call):
                     break
@@ -188,17 +190,17 @@
                         sends.add(hedge)
                         extra.add(hedge)
                 done, _ = await asyncio.wait(
-                    sends | {call.request.left}
-                    if not call.request.left.done()
+                    sends | {call.request.disconnected}
+                    if not call.request.disconnected.done()
                     else sends,
-                    timeout=min(hedge_at, call.give_up_at) - now,
+                    timeout=min(hedge_at, call.deadline) - now,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 for send in done & sends:
                     sends.discard(send)
                     winner = self._judge(call, send.result(), winner)
                     if send in extra and not send.result().sent:
-                        state.budget.give_back()
+                        state.retry_budget.give_back()
                         hedge_at = self.now() + HEDGE_PAUSE
                 if winner is None and not sends and self._may_repeat(call, state):
                     self._note_extra("retried", call, self.now())
@@ -256,7 +258,7 @@
             reason=call.reason,
             sent=call.records,
             after=round(now - call.request.arrived, 4),
-            budget=round(call.state.budget.left(now, self.board.processes), 1),
+            budget=round(call.state.retry_budget.left(now, self.board.processes), 1),
         )
 
     def _may_hedge(self, call, state, now):
@@ -264,18 +266,18 @@
             return False
         if state.fullness.share(now) > HEDGE_FULLNESS:
             return False
-        return state.budget.take(now, self.board.processes, HEDGE_RESERVE)
+        return state.retry_budget.take(now, self.board.processes, HEDGE_RESERVE)
 
     def _may_repeat(self, call, state):
         """Return whether a failed request is sent again, and take the budget."""
         now = self.now()
-        if call.give_up_at - now < _sender.LEAST_TIME or self._left(call):
+        if call.deadline - now < _sender.LEAST_TIME or self._left(call):
             return False
         if call.may_have_run and not call.idempotent:
             return False
         if call.sends >= call.route.max_attempts or not call.sends:
             return False
-        return state.budget.take(now, self.board.processes)
+        return state.retry_budget.take(now, self.board.processes)
 
     def _judge(self, call, outcome, winner):
         """Take one send's outcome; return the outcome to answer with, or ``None``."""
@@ -313,18 +315,18 @@
 
     async def _deliver(self, call, outcome, writer):
         try:
-            await _delivery.deliver(
+            await _delivery.relay_response(
                 call.request,
                 outcome.answer,
                 writer,
                 closing=self.board.stopping,
-                give_up_at=call.give_up_at,
+                deadline=call.deadline,
             )
         except _upstream.ExchangeError as error:
             writer.abort()
             self._note_broken_off(call, outcome, error.failure)
         if outcome.connection is not None:
-            self.asker.pool(outcome.server).release(outcome.connection)
+            self.selector.pool(outcome.server).release(outcome.connection)
 
     def _note_broken_off(self, call, outcome, failure):
         """Count and log an answer of which the caller has got a part only."""
@@ -390,8 +392,8 @@
     @staticmethod
     def _failure_status(call, now):
         """Return 503 only with proof that the request has not run and never will."""
-        if call.sends and (call.may_have_run or now >= call.give_up_at):
-            return 504 if now >= call.give_up_at else 502
+        if call.sends and (call.may_have_run or now >= call.deadline):
+            return 504 if now >= call.deadline else 502
         return 503
 
     def _refuse_without_route(self, request, request_id, writer):
@@ -411,4 +413,6 @@
         close = self.board.stopping
         if close:
             request.keep_alive = False
-        writer.write(self.dialect.refusal(status, request_id, retry_after, close))
+        writer.write(
+            self.dialect.error_response(status, request_id, retry_after, close)
+        )
--- a/boragegw/gateway/_delivery.py
+++ b/boragegw/gateway/_delivery.py
@@ -9,7 +9,7 @@
 GATHER_BYTES = 128 * 1024
 #: Seconds without a byte after which an answer that is late counts as stalled. One that
 #: still moves is passed on to its end, however late.
-STALL = 2.0
+STALL_TIMEOUT = 2.0
 #: Headers of an answer that concern one connection only, or that are set anew.
 DROPPED = frozenset(
     (
@@ -27,7 +27,7 @@
 REASONS = {200: b"OK", 201: b"Created", 204: b"No Content", 500: b"Error"}
 
 
-async def gather(answer, heard):
+async def buffer_response(answer, heard):
     """Wait until the answer is whole or large enough to pass on.
 
     :param heard: function that is called when a part has arrived and more is to come.
@@ -40,11 +40,11 @@
         await answer.changed()
 
 
-async def deliver(request, answer, writer, *, closing, give_up_at):
+async def relay_response(request, answer, writer, *, closing, deadline):
     """Write the answer to the caller, or break it off if the caller has left.
 
     :param closing: tell the caller to use another connection next.
-    :param give_up_at: seconds of the event loop's clock from which the answer is late.
+    :param deadline: seconds of the event loop's clock from which the answer is late.
     :raises ExchangeError: if it breaks off, or stops arriving and is late; the caller
         has a part of it.
     """
@@ -53,7 +53,7 @@
     if answer.complete:
         writer.write(_whole(request, answer))
         return
-    await _stream(request, answer, writer, give_up_at)
+    await _stream(request, answer, writer, deadline)
 
 
 def _whole(request, answer):
@@ -69,7 +69,7 @@
     return b"\r\n".join(head) + b"\r\n\r\n" + body
 
 
-async def _stream(request, answer, writer, give_up_at):
+async def _stream(request, answer, writer, deadline):
     """Pass an answer on while it arrives.
 
     The caller must not take a broken answer for a whole one: with a length or with
@@ -86,7 +86,7 @@
         chunk = answer.take()
         if chunk:
             writer.write(chunk if length is not None else _chunked(chunk))
-            await writer.writable()
+            await writer.drain()
         if request.caller_gone:
             answer._connection.abort()
             return
@@ -96,20 +96,20 @@
             break
         if answer.error is not None:
             raise answer.error
-        await _more(request, answer, give_up_at)
+        await _more(request, answer, deadline)
     if length is None:
         writer.write(b"0\r\n\r\n")
 
 
-async def _more(request, answer, give_up_at):
+async def _more(request, answer, deadline):
     """Wait until more has arrived, the answer has ended, or the caller has left.
 
     :raises ExchangeError: if nothing happens and the answer is late.
     """
     now = asyncio.get_running_loop().time()
     done, _ = await asyncio.wait(
-        (answer.changed(), request.left),
-        timeout=max(give_up_at, now + STALL) - now,
+        (answer.changed(), request.disconnected),
+        timeout=max(deadline, now + STALL_TIMEOUT) - now,
         return_when=asyncio.FIRST_COMPLETED,
     )
     if not done:
--- a/boragegw/gateway/_dialect.py
+++ b/boragegw/gateway/_dialect.py
@@ -28,7 +28,7 @@
         """Return the request's id as bytes, empty if it has none."""
 
     @abc.abstractmethod
-    def patience(self, headers):
+    def caller_timeout(self, headers):
         """Return the seconds that the caller waits, or ``None`` if it does not say."""
 
     @abc.abstractmethod
@@ -36,31 +36,31 @@
         """Return the head of a request as it is sent to ``server``, in bytes."""
 
     @abc.abstractmethod
-    def health_question(self, service, server):
+    def health_request(self, service, server):
         """Return the bytes that ask ``server`` for its load."""
 
     @abc.abstractmethod
-    def answers_health(self, answer):
+    def is_health_response(self, answer):
         """Return whether ``answer`` belongs to a question for load."""
 
     @abc.abstractmethod
-    def answers_request(self, answer, request_id):
+    def is_response_to(self, answer, request_id):
         """Return whether ``answer`` belongs to the request with that id."""
 
     @abc.abstractmethod
-    def read_health(self, answer, now):
+    def parse_health(self, answer, now):
         """Return the :class:`HealthResponse` in ``answer``."""
 
     @abc.abstractmethod
-    def read_report(self, answer, now):
+    def parse_load_report(self, answer, now):
         """Return the load report on any answer, or ``None``."""
 
     @abc.abstractmethod
-    def is_not_run(self, answer):
+    def is_not_executed(self, answer):
         """Return whether the backend server says that it did not run the request."""
 
     @abc.abstractmethod
-    def is_other_server(self, answer):
+    def is_misdirected(self, answer):
         """Return whether another server answered at the address."""
 
     @abc.abstractmethod
@@ -68,7 +68,7 @@
         """Return whether a backend server made the answer."""
 
     @abc.abstractmethod
-    def refusal(self, status, request_id, retry_after=None, close=False):
+    def error_response(self, status, request_id, retry_after=None, close=False):
         """Return the bytes of an answer of our own.
 
         :param retry_after: seconds after which the caller may come back.
--- a/boragegw/gateway/_endpoint.py
+++ b/boragegw/gateway/_endpoint.py
@@ -46,11 +46,11 @@
         reply = await self.handler(request)
         writer.write(_bytes(reply, request.keep_alive))
 
-    def note_error(self, error):
+    def log_error(self, error):
         """Log an error of the handler."""
         logger.error("endpoint failed", exc_info=error)
 
-    def refusal(self, status, request):
+    def error_response(self, status, request):
         """Return the answer to a request that was not accepted."""
         return _bytes(EndpointResponse(status), False)
 
--- a/boragegw/gateway/_follower.py
+++ b/boragegw/gateway/_follower.py
@@ -190,7 +190,7 @@
             answer = await self._ask(name, source, lambda s: s.read_all())
         finally:
             self._is_rereading = False
-            self.membership.board.learning = False
+            self.membership.board.loading_snapshot = False
         if answer is None:
             return
         name, reading = answer
@@ -292,7 +292,7 @@
         self._note_lag(now)
         progress = self._progress()
         if self._is_rereading and self.catalogue.position < 0:
-            self.membership.board.learning = self._bytes() > self._bytes_before
+            self.membership.board.loading_snapshot = self._bytes() > self._bytes_before
         self._patience.expect(self._source_knows_more())
         if progress.received:
             self._check_rate(progress, now)
--- a/boragegw/gateway/_front.py
+++ b/boragegw/gateway/_front.py
@@ -27,7 +27,7 @@
     :param headers: pairs of bytes, names in lower case.
     :param room: bytes of :class:`BodyMemory` that are reserved for its body.
     :param arrived: monotonic seconds of its first byte.
-    :param left: future that ends when the caller has left.
+    :param disconnected: future that ends when the caller has left.
     """
 
     method: bytes = b""
@@ -38,7 +38,7 @@
     arrived: float = 0.0
     keep_alive: bool = True
     refused: int = 0
-    left: object = None
+    disconnected: object = None
 
     def header(self, name):
         """Return the first value of ``name`` (bytes in lower case), or ``None``."""
@@ -50,7 +50,7 @@
     @property
     def caller_gone(self):
         """Whether the caller has closed its connection."""
-        return self.left.done()
+        return self.disconnected.done()
 
 
 class BodyMemory:
@@ -58,19 +58,19 @@
 
     def __init__(self, limit=BODY_MEMORY):
         self.limit = limit
-        self.held = 0
+        self.used_bytes = 0
 
     def reserve(self, request, size):
         """Reserve ``size`` more bytes for a request; return whether there is room."""
-        if self.held + size > self.limit:
+        if self.used_bytes + size > self.limit:
             return False
-        self.held += size
+        self.used_bytes += size
         request.room += size
         return True
 
     def free(self, request):
         """Give back what is reserved for a request."""
-        self.held -= request.room
+        self.used_bytes -= request.room
         request.room = 0
 
 
@@ -162,7 +162,7 @@
         """Start a request."""
         if self._deaf:
             return
-        self._request = Request(arrived=self.gateway.now(), left=self._left)
+        self._request = Request(arrived=self.gateway.now(), disconnected=self._left)
         self._head_done = False
 
     def on_url(self, url):
@@ -255,12 +255,12 @@
         try:
             if request.refused:
                 request.keep_alive = False
-                self.write(self.gateway.refusal(request.refused, request))
+                self.write(self.gateway.error_response(request.refused, request))
             else:
                 await self.gateway.serve(request, self)
         except Exception as error:
             # A defect here must show as a broken connection, never as silence.
-            self.gateway.note_error(error)
+            self.gateway.log_error(error)
             self.abort()
         finally:
             self.gateway.body_memory.free(request)
@@ -291,7 +291,7 @@
         if not self._closing:
             self._transport.write(data)
 
-    async def writable(self):
+    async def drain(self):
         """Wait until the caller has read enough, or has left."""
         if self._can_write is not None:
             await self._can_write
@@ -356,7 +356,9 @@
         The requests before it are still served; a refusal in their place would
         belong to another request.
         """
-        request = self._request or Request(arrived=self.gateway.now(), left=self._left)
+        request = self._request or Request(
+            arrived=self.gateway.now(), disconnected=self._left
+        )
         self._drop_body(request)
         self._request = None
         self._deaf = True
--- a/boragegw/gateway/_process.py
+++ b/boragegw/gateway/_process.py
@@ -104,17 +104,17 @@
         policies = balancing.PolicySettings(settings.policies)
         shared = {"now": self.now, "log": self.log}
         drawn = {"random_state": self.random_state, **shared}
-        self.asker = _asker.ServerSelector(
+        self.selector = _asker.ServerSelector(
             self.board,
             self.dialect,
             policies.make("asking", data_centre=settings.data_centre),
             policies.make("warmup"),
             **drawn,
         )
-        self.carrier = _carrier.Forwarder(
+        self.forwarder = _carrier.Forwarder(
             self.board,
             self.dialect,
-            self.asker,
+            self.selector,
             self._make_budget,
             lambda: balancing.ProbeBudget(settings.probe_rate),
             policies,
@@ -123,11 +123,11 @@
         self.catalogue = _catalogue.Catalogue(
             self.board,
             decoder,
-            on_addresses_gone=self.asker.forget,
-            on_joined=self.asker.welcome,
+            on_addresses_gone=self.selector.forget,
+            on_joined=self.selector.welcome,
             **shared,
         )
-        self.own = _peer_messages.Member(
+        self.local_member = _peer_messages.Member(
             name=settings.name,
             incarnation=int.from_bytes(os.urandom(8), "big") >> 1,
             beat=0,
@@ -138,7 +138,7 @@
             replica_format=_peer_messages.REPLICA_FORMAT,
         )
         self.membership = _membership.Membership(
-            self.board, self.own, self._seed_addresses, **drawn
+            self.board, self.local_member, self._seed_addresses, **drawn
         )
         self.follower = _follower.Follower(
             self.catalogue,
@@ -152,12 +152,12 @@
             self.catalogue, self.membership, self._peer_source, **drawn
         )
         self.replicas = _replication.ReplicaServer(
-            self.catalogue, now=self.now, incarnation=self.own.incarnation
+            self.catalogue, now=self.now, incarnation=self.local_member.incarnation
         )
         self.directory = _directory.DirectoryPolicy()
         self.catalogue.on_change = self._note_ready
-        self.membership.on_crash = self.carrier.sender.observe_crash
-        self.carrier.sender.spread_crash = self.membership.spread_crash
+        self.membership.on_crash = self.forwarder.sender.observe_crash
+        self.forwarder.sender.spread_crash = self.membership.spread_crash
 
     def _make_budget(self):
         settings = self.settings
@@ -195,9 +195,9 @@
 
     async def serve(self, request, writer):
         """Serve one request."""
-        await self.carrier.carry(request, writer)
+        await self.forwarder.forward(request, writer)
 
-    def refusal(self, status, request):
+    def error_response(self, status, request):
         """Return the answer to a request that was not read to its end; tell of it."""
         request_id = self.dialect.request_id(request.headers)
         self.board.counters[f"requests.not_read.{status}"] += 1
@@ -205,12 +205,12 @@
             "request-not-read",
             request=(request_id or b"").decode("latin-1"),
             status=status,
-            bodies=self.body_memory.held,
+            bodies=self.body_memory.used_bytes,
             after=round(self.now() - request.arrived, 4),
         )
-        return self.dialect.refusal(status, request_id, None, True)
+        return self.dialect.error_response(status, request_id, None, True)
 
-    def note_error(self, error):
+    def log_error(self, error):
         """Log an error that ended a request without an answer."""
         self.board.counters["requests.defects"] += 1
         self.log.event("request-defect", error=repr(error))
@@ -233,13 +233,13 @@
             lambda: _front.CallerConnection(self), backlog=BACKLOG, **where
         )
         self._listeners.append(listener)
-        self.log.event("start", incarnation=self.own.incarnation)
+        self.log.event("start", incarnation=self.local_member.incarnation)
         self.membership.tick()
         self._run(self.follower.run())
         self._run(self.reconciler.run())
         self._run(self._every(_membership.INTERVAL, self.membership.tick))
         self._run(self._every(CHECK_INTERVAL, self.follower.check))
-        self._run(self._every(SWEEP_INTERVAL, self.asker.sweep))
+        self._run(self._every(SWEEP_INTERVAL, self.selector.sweep))
 
     async def listen(self, handler, address):
         """Serve ``handler`` on ``address`` besides, until the process ends."""
@@ -262,12 +262,12 @@
             action()
 
     def _note_ready(self):
-        if self.board.ready and self.own.life == _peer_messages.Life.STARTING:
-            self.own.life = _peer_messages.Life.READY
+        if self.board.ready and self.local_member.life == _peer_messages.Life.STARTING:
+            self.local_member.life = _peer_messages.Life.READY
             self.log.event("ready", position=self.catalogue.position)
             self.membership.announce()
 
-    def use_seeds(self, seeds):
+    def update_seeds(self, seeds):
         """Use other seeds from now on."""
         if tuple(seeds) != tuple(self._seeds):
             self.log.event("seeds", seeds=list(seeds))
@@ -288,8 +288,8 @@
         """
         started = self.now()
         self.board.stopping = True
-        self.own.life = _peer_messages.Life.LEAVING
-        self.own.watches_store = False
+        self.local_member.life = _peer_messages.Life.LEAVING
+        self.local_member.watches_store = False
         self.membership.announce()
         self.log.event("stopping", connections=len(self.connections))
         await self._sleep_until(started + ACCEPT_SHARE * self.settings.shutdown_timeout)
--- a/boragegw/gateway/_sender.py
+++ b/boragegw/gateway/_sender.py
@@ -30,14 +30,14 @@
 
     :param board: the :class:`Blackboard`.
     :param dialect: a :class:`Dialect`.
-    :param asker: an :class:`ServerSelector`.
+    :param selector: an :class:`ServerSelector`.
     :param shedding: a :class:`~boragegw.balancing.SheddingPolicy`.
     """
 
-    def __init__(self, board, dialect, asker, shedding, *, now, log):
+    def __init__(self, board, dialect, selector, shedding, *, now, log):
         self.board = board
         self.dialect = dialect
-        self.asker = asker
+        self.selector = selector
         self.shedding = shedding
         self.now = now
         self.log = log
@@ -68,12 +68,12 @@
             if place is None:
                 return _call.AttemptOutcome(Verdict.NOT_RUN, reason="no room")
             server = place.server
-            pool = self.asker.pool(server)
+            pool = self.selector.pool(server)
             now = self.now()
-            refusal = self._refusal(call, place, now, hedge)
-            if refusal:
+            rejection = self._rejection_reason(call, place, now, hedge)
+            if rejection:
                 pool.release(place.connection)
-                return _call.AttemptOutcome(Verdict.NOT_RUN, reason=refusal)
+                return _call.AttemptOutcome(Verdict.NOT_RUN, reason=rejection)
             if self._still_fits(call, place):
                 break
             pool.release(place.connection)
@@ -143,12 +143,12 @@
             call.service,
             call.state,
             call.tried,
-            call.give_up_at,
+            call.deadline,
             heavy=call.route.kind is balancing.RouteKind.DOWNLOAD,
         )
-        place = await self.asker.place(search)
+        place = await self.selector.place(search)
         if place is not None and self._is_too_slow(call, place):
-            self.asker.pool(place.server).release(place.connection)
+            self.selector.pool(place.server).release(place.connection)
             place = None
         return place, search.was_silent
 
@@ -157,7 +157,7 @@
         if place.server.slowness(self.now()) < balancing.SLOW:
             return False
         usual = call.state.hedging.usual
-        left = call.give_up_at - self.now()
+        left = call.deadline - self.now()
         return balancing.expected_wait(place.offer, usual) > SLOW_SHARE * left
 
     def _still_fits(self, call, place):
@@ -175,11 +175,11 @@
             or not place.connection.reusable
         )
 
-    def _refusal(self, call, place, now, hedge):
+    def _rejection_reason(self, call, place, now, hedge):
         """Return why the request is not to be sent at all, or ""."""
         if call.request.caller_gone:
             return "caller left"
-        left = call.give_up_at - now
+        left = call.deadline - now
         if left < LEAST_TIME:
             return "no time left"
         if hedge and not place.offer.quiet:
@@ -192,17 +192,19 @@
     async def _exchange(self, call, place, now):
         """Send on a connection that has just answered; read the answer."""
         server = place.server
-        left = call.give_up_at - now
+        left = call.deadline - now
         head = self.dialect.request_head(call.request, server, left)
         connection = place.connection
         try:
             async with asyncio.timeout(left + OVERTIME):
                 answer = await connection.start(
                     head + bytes(call.request.body),
-                    lambda a: self.dialect.answers_request(a, call.request_id),
+                    lambda a: self.dialect.is_response_to(a, call.request_id),
                     without_body=call.request.method == b"HEAD",
                 )
-                await _delivery.gather(answer, lambda: self._hear(call, answer))
+                await _delivery.buffer_response(
+                    answer, lambda: self._hear(call, answer)
+                )
         except (_upstream.ExchangeError, TimeoutError) as error:
             connection.abort()
             self._observe_failure(server)
@@ -224,18 +226,18 @@
 
     def _hear(self, call, answer):
         """Note that an answer that can go to the caller is arriving."""
-        good = answer.status < 500 and not self.dialect.is_not_run(answer)
+        good = answer.status < 500 and not self.dialect.is_not_executed(answer)
         if good and self.dialect.is_authentic(answer):
             call.quiet_since = self.now()
 
     def _read_answer(self, call, place, answer, started):
         now = self.now()
         server = place.server
-        report = self.dialect.read_report(answer, now)
+        report = self.dialect.parse_load_report(answer, now)
         if report is not None:
             server.observe_report(report)
-        if self.dialect.is_not_run(answer):
-            if self.dialect.is_other_server(answer):
+        if self.dialect.is_not_executed(answer):
+            if self.dialect.is_misdirected(answer):
                 server.moved = True
             self._observe_failure(server)
             if not answer.complete:
@@ -261,7 +263,7 @@
         )
 
     async def _check_crash(self, call, server):
-        if not await self.asker.has_crashed(server):
+        if not await self.selector.has_crashed(server):
             return
         mark = _call.request_fingerprint(call.request)
         self.log.event(
--- a/boragegw/gateway/tests/test_body_memory.py
+++ b/boragegw/gateway/tests/test_body_memory.py
@@ -23,8 +23,8 @@
         self.process.body_memory = gateway.BodyMemory(limit=limit)
 
     @property
-    def held(self):
-        return self.process.body_memory.held
+    def used_bytes(self):
+        return self.process.body_memory.used_bytes
 
     def connect(self):
         return test_front.connect(self.process)
@@ -68,7 +68,7 @@
     assert await callers.statuses(*transports) == expected
     bodies = sorted(len(body) for _, _, body in callers.process.served)
     assert bodies == sorted(sizes[n] for n in kept)
-    assert callers.held == 0
+    assert callers.used_bytes == 0
 
 
 @in_memory
@@ -91,7 +91,7 @@
     second, transport = callers.connect()
     second.data_received(head(100) + b"z" * 100)
     assert await callers.statuses(transport) == [[200]]
-    assert callers.held == 0
+    assert callers.used_bytes == 0
 
 
 @in_memory
@@ -101,7 +101,7 @@
     first.data_received(head(80))
     await asyncio.sleep(callers.process.limits.idle_timeout + 0.1)
     assert await callers.statuses(slow) == [[408]]
-    assert callers.held == 0
+    assert callers.used_bytes == 0
 
 
 @in_memory
@@ -118,7 +118,7 @@
     assert await callers.statuses(chunked) == [[503]]
     first.data_received(b"z" * 80)
     assert await callers.statuses(promised) == [[200]]
-    assert callers.held == 0
+    assert callers.used_bytes == 0
 
 
 @in_memory
@@ -135,4 +135,4 @@
     callers.process.delay = 0.0
     third.data_received(head(60) + b"z" * 60)
     assert await callers.statuses(answered, later) == [[200], [200]]
-    assert callers.held == 0
+    assert callers.used_bytes == 0
--- a/boragegw/gateway/tests/test_front.py
+++ b/boragegw/gateway/tests/test_front.py
@@ -60,10 +60,10 @@
     def now(self):
         return asyncio.get_running_loop().time()
 
-    def note_error(self, error):
+    def log_error(self, error):
         raise error
 
-    def refusal(self, status, request):
+    def error_response(self, status, request):
         return b"HTTP/1.1 %d Refused\r\ncontent-length: 0\r\n\r\n" % status
 
     async def serve(self, request, writer):
@@ -127,7 +127,7 @@
     assert statuses(transport) == [status]
     assert transport.closed is (status != 200)
     assert len(process.served) == (status == 200)
-    assert process.body_memory.held == 0
+    assert process.body_memory.used_bytes == 0
 
 
 @standins.in_memory
@@ -229,7 +229,7 @@
     assert statuses(transport) == ([] if status is None else [status])
     await asyncio.sleep(0.5)
     assert transport.closed
-    assert process.body_memory.held == 0
+    assert process.body_memory.used_bytes == 0
 
 
 @standins.in_memory
@@ -244,12 +244,12 @@
         connection, transport = connect(process)
         connection.data_received(HEAD + b"content-length: 401\r\n\r\n" + b"z" * 400)
         transports.append((connection, transport))
-    assert process.body_memory.held <= 1000
+    assert process.body_memory.used_bytes <= 1000
     for connection, _ in transports:
         connection.data_received(b"z")
     await asyncio.sleep(1.0)
     assert [statuses(t) for _, t in transports] == [[200], [200], [503], [503], [503]]
-    assert process.body_memory.held == 0
+    assert process.body_memory.used_bytes == 0
 
 
 @standins.in_memory
@@ -259,7 +259,7 @@
     connection.data_received(HEAD + b"content-length: 100\r\n\r\nhalf")
     connection.connection_lost(None)
     await asyncio.sleep(20.0)
-    assert process.body_memory.held == 0
+    assert process.body_memory.used_bytes == 0
     assert not process.served
     assert not process.connections
 
@@ -274,14 +274,14 @@
     sent = b"".join(request_bytes(n, b, chunked) for n, b in enumerate(bodies))
     process = standins.run_in_memory(serve_in_pieces(sent, sorted(cuts)))
     assert process.served == [(b"POST", b"/%d" % n, b) for n, b in enumerate(bodies)]
-    assert process.body_memory.held == 0
+    assert process.body_memory.used_bytes == 0
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=150)
 @hypothesis.given(sent=st.binary(max_size=200), cuts=st.lists(st.integers(0, 200)))
 def test_any_bytes_are_refused_or_served_and_never_break_the_process(sent, cuts):
     process = standins.run_in_memory(serve_in_pieces(sent, sorted(cuts)))
-    assert process.body_memory.held == 0
+    assert process.body_memory.used_bytes == 0
 
 
 def request_bytes(number, body, chunked):
@@ -311,7 +311,7 @@
     """An error of the process itself must not leave a caller waiting in silence."""
     process = Process()
     noted = []
-    process.note_error = noted.append
+    process.log_error = noted.append
     process.serve = None
     connection, transport = connect(process)
     connection.data_received(HEAD + b"\r\n")
--- a/boragegw/platform/_dialect.py
+++ b/boragegw/platform/_dialect.py
@@ -41,7 +41,7 @@
         """Return the request's id as bytes, empty if it has none."""
         return _value(headers, _names.REQUEST_ID) or b""
 
-    def patience(self, headers):
+    def caller_timeout(self, headers):
         """Return the seconds that the caller waits, or ``None``."""
         value = _value(headers, _names.DEADLINE_MS)
         return None if value is None else _seconds(value)
@@ -62,13 +62,13 @@
             lines.append(b"content-length: %d" % len(request.body))
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
-    def health_question(self, service, server):
+    def health_request(self, service, server):
         """Return the bytes that ask ``server`` for its load."""
         host, port = server.listing.address
         head = f"GET {service.health_path} HTTP/1.1\r\nhost: {host}:{port}\r\n\r\n"
         return head.encode()
 
-    def answers_health(self, answer):
+    def is_health_response(self, answer):
         """Return whether ``answer`` belongs to a question for load.
 
         Only answers to requests carry a request's id or a signature.
@@ -78,25 +78,25 @@
             headers, _names.REQUEST_ID
         )
 
-    def answers_request(self, answer, request_id):
+    def is_response_to(self, answer, request_id):
         """Return whether ``answer`` belongs to the request with that id."""
         echoed = _value(answer.headers, _names.REQUEST_ID)
         if echoed is not None:
             return echoed == request_id
         return not 200 <= answer.status < 300
 
-    def read_health(self, answer, now):
+    def parse_health(self, answer, now):
         """Return the :class:`~boragegw.gateway.HealthResponse` in ``answer``."""
         identity = _value(answer.headers, _names.SERVER_IDENTITY)
         cold = _value(answer.headers, _names.COLD_MS)
         return gateway.HealthResponse(
             healthy=answer.status == 200,
             identity="" if identity is None else identity.decode("latin-1"),
-            report=self.read_report(answer, now),
+            report=self.parse_load_report(answer, now),
             cold_for=None if cold is None else _seconds(cold),
         )
 
-    def read_report(self, answer, now):
+    def parse_load_report(self, answer, now):
         """Return the load report on any answer, or ``None``."""
         value = _value(answer.headers, _names.LOAD)
         if value is None:
@@ -111,13 +111,13 @@
             running, waiting, slots, max(0.01, percent / 100.0), now
         )
 
-    def is_not_run(self, answer):
+    def is_not_executed(self, answer):
         """Return whether the backend server says that it did not run the request."""
         return answer.status == MISDIRECTED or (
             _value(answer.headers, _names.NOT_RUN) is not None
         )
 
-    def is_other_server(self, answer):
+    def is_misdirected(self, answer):
         """Return whether another server answered at the address."""
         return answer.status == MISDIRECTED
 
@@ -125,7 +125,7 @@
         """Return whether a backend server made the answer."""
         return _value(answer.headers, _names.SIGNATURE) is not None
 
-    def refusal(self, status, request_id, retry_after=None, close=False):
+    def error_response(self, status, request_id, retry_after=None, close=False):
         """Return the bytes of an answer of our own."""
         text = STATUS_TEXT.get(status, "Error")
         lines = [f"HTTP/1.1 {status} {text}", "content-length: 0"]
--- a/boragegw/platform/_endpoints.py
+++ b/boragegw/platform/_endpoints.py
@@ -68,8 +68,8 @@
         process = self.process
         configuration = process.board.configuration
         status = Status(
-            process=process.own.name,
-            life=process.own.life.name.lower(),
+            process=process.local_member.name,
+            life=process.local_member.life.name.lower(),
             version=None if configuration is None else configuration.version,
             position=process.catalogue.position,
             peers=sorted(m.name for m in process.membership.alive()),
--- a/boragegw/platform/_process.py
+++ b/boragegw/platform/_process.py
@@ -106,7 +106,7 @@
             self.process.log.event("settings-invalid", detail=error.detail)
             return
         self.process.log.event("settings-read")
-        self.process.use_seeds(fresh.gateway.seeds)
+        self.process.update_seeds(fresh.gateway.seeds)
 
     async def _watch_settings(self):
         while True:
--- a/boragegw/platform/tests/test_delayed_reports.py
+++ b/boragegw/platform/tests/test_delayed_reports.py
@@ -145,7 +145,7 @@
     await installation.add("gw-10")
     assert set(installation.draining().values()) == {False}
     for process in installation.world.processes.values():
-        assert process.own.retained == 0
+        assert process.local_member.retained == 0
 
 
 @in_memory
--- a/boragegw/platform/tests/test_knowledge.py
+++ b/boragegw/platform/tests/test_knowledge.py
@@ -116,14 +116,16 @@
     """
     installation = await world(gateways=3)
     await asyncio.sleep(3.0)
-    watchers = [p for p in installation.processes.values() if p.own.watches_store]
+    watchers = [
+        p for p in installation.processes.values() if p.local_member.watches_store
+    ]
     assert len(watchers) == 1
     for one, _ in installation.network.connections:
         if one.remote == STORE:
             one.abort()
     for _ in range(40):
         await asyncio.sleep(0.05)
-        assert watchers[0].own.reads_store
+        assert watchers[0].local_member.reads_store
     installation.publish([installation.route("/new/")])
     await asyncio.sleep(1.0)
     for name in installation.processes:
@@ -208,6 +210,8 @@
         await installation.add_gateway(f"gw-{number}", link_mbps=link, bootstrap=True)
     await asyncio.sleep(6.0)
     watching = [
-        name for name, p in installation.processes.items() if p.own.watches_store
+        name
+        for name, p in installation.processes.items()
+        if p.local_member.watches_store
     ]
     assert watching == ["gw-4"]
--- a/boragegw/platform/tests/test_path.py
+++ b/boragegw/platform/tests/test_path.py
@@ -287,7 +287,9 @@
     installation = await world(backends=4, kind="unsafe")
     installation.backends["i-0"].faults.healthy = False
     process = installation.processes["gw-0"]
-    process.carrier.state("app").probes = balancing.ProbeBudget(rate=0.0)
+    process.forwarder.service_state("app").probe_budget = balancing.ProbeBudget(
+        rate=0.0
+    )
     for number in range(40):
         await installation.call(f"/{number}", "POST", b"1")
         await asyncio.sleep(0.05)
--- a/boragegw/platform/tests/test_readings_in_pages.py
+++ b/boragegw/platform/tests/test_readings_in_pages.py
@@ -27,7 +27,7 @@
         await installation.add_gateway(f"gw-{number}")
     await asyncio.sleep(5.0)
     processes = installation.processes.values()
-    (root,) = [p for p in processes if p.own.watches_store]
+    (root,) = [p for p in processes if p.local_member.watches_store]
     lost = []
     for process in processes:
         event = process.log.event
--- a/boragegw/platform/tests/test_slow_sources.py
+++ b/boragegw/platform/tests/test_slow_sources.py
@@ -113,7 +113,9 @@
     """After a watch of the store was cut only a full reading tells what it missed."""
     installation = await standins.WireWorld().start(gateways=2)
     await asyncio.sleep(5.0)
-    root = next(n for n, p in installation.processes.items() if p.own.watches_store)
+    root = next(
+        n for n, p in installation.processes.items() if p.local_member.watches_store
+    )
     follower = installation.processes[root].follower
     follower._must_reread = True
 
@@ -164,7 +166,7 @@
             near.abort()
     await asyncio.sleep(2.0)
     assert all(call.done() for call in calls)
-    assert process.board.learning
+    assert process.board.loading_snapshot
     assert not process.board.configured._waiters
 
 
@@ -193,9 +195,9 @@
     )
     await asyncio.sleep(20.0)
     processes = installation.processes.values()
-    roots = [process for process in processes if process.own.watches_store]
+    roots = [process for process in processes if process.local_member.watches_store]
     for process in roots:
-        if process.own.data_centre != "dc-b":
+        if process.local_member.data_centre != "dc-b":
             process.follower.store = SilentStore()
     installation.publish([installation.route("/first/")])
     await asyncio.sleep(5.0)
--- a/boragegw/platform/tests/test_sources.py
+++ b/boragegw/platform/tests/test_sources.py
@@ -76,7 +76,7 @@
     for number in range(3):
         await installation.add_gateway(f"gw-{number}")
     await asyncio.sleep(5.0)
-    roots = [p for p in installation.processes.values() if p.own.watches_store]
+    roots = [p for p in installation.processes.values() if p.local_member.watches_store]
     assert len(roots) == 1
     store.page = 1
     store.delay = 0.1
@@ -159,7 +159,7 @@
     """A failure counts until the next watch has ended, 20 s without a change."""
     installation = await standins.WireWorld().start(gateways=3)
     await asyncio.sleep(60.0)
-    root = next(n for n, p in _all(installation) if p.own.watches_store)
+    root = next(n for n, p in _all(installation) if p.local_member.watches_store)
     name = next(n for n, p in _all(installation) if n != root)
     assert (await installation.call(WRONG, to=name, host="none")).status == 404
     for one, other in installation.network.connections:
@@ -176,7 +176,7 @@
     """A watch that began before goes on for 20 s; only then does it say what it is."""
     installation = await standins.WireWorld().start(gateways=30)
     await asyncio.sleep(60.0)
-    root = next(n for n, p in _all(installation) if p.own.watches_store)
+    root = next(n for n, p in _all(installation) if p.local_member.watches_store)
     for name in installation.processes:
         if name != root:
             _break_off(installation, name, root)
@@ -194,7 +194,7 @@
 async def test_one_failure_of_a_peer_and_one_of_the_store_do_not_lose_the_store():
     installation = await standins.WireWorld().start(gateways=3)
     await asyncio.sleep(60.0)
-    root = next(n for n, p in _all(installation) if p.own.watches_store)
+    root = next(n for n, p in _all(installation) if p.local_member.watches_store)
     name = next(n for n, p in _all(installation) if n != root)
     process = installation.processes[name]
     events = []
@@ -240,7 +240,7 @@
         rate = 200.0 if number == 0 else 100.0
         await installation.add_gateway(f"gw-{number}", link_mbps=rate)
     await asyncio.sleep(10.0)
-    assert installation.processes["gw-0"].own.watches_store
+    assert installation.processes["gw-0"].local_member.watches_store
     installation.network.set_link("gw-0", 0.02)
     installation.network._incoming.clear()
     return installation
@@ -287,12 +287,12 @@
     """As while a new version is rolled out: the former has no ``/v1/replica``."""
     installation = await standins.WireWorld().start(gateways=12)
     await asyncio.sleep(20.0)
-    root = next(n for n, p in _all(installation) if p.own.watches_store)
+    root = next(n for n, p in _all(installation) if p.local_member.watches_store)
 
     async def former(request):
         return gateway.EndpointResponse(404)
 
-    installation.processes[root].own.replica_format = 0
+    installation.processes[root].local_member.replica_format = 0
     await asyncio.sleep(5.0)
     endpoint = gateway.Endpoint(former, now=installation.loop.time)
     await endpoint.listen((root, standins.PEER_PORT))
--- a/boragegw/platform/tests/test_stalled_answers.py
+++ b/boragegw/platform/tests/test_stalled_answers.py
@@ -44,7 +44,7 @@
 
 def held(installation):
     """Return the connections to backend servers that a request holds."""
-    pools = installation.processes["gw-0"].asker._pools.values()
+    pools = installation.processes["gw-0"].selector._pools.values()
     return sum(pool._open - len(pool._idle) for pool in pools)
 
 
@@ -80,7 +80,7 @@
     reply = await asyncio.wait_for(calling, 120.0)
     assert reply.status == 0
     # A pause before the deadline is no reason to end an answer.
-    assert 2.9 <= reply.seconds <= 3.0 + _delivery.STALL
+    assert 2.9 <= reply.seconds <= 3.0 + _delivery.STALL_TIMEOUT
     assert held(installation) == 0
 
 
@@ -92,7 +92,7 @@
     silence(installation)
     reply = await asyncio.wait_for(calling, 120.0)
     assert reply.status == 0
-    assert reply.seconds <= 4.0 + _delivery.STALL + 0.2
+    assert reply.seconds <= 4.0 + _delivery.STALL_TIMEOUT + 0.2
 
 
 @pytest.mark.parametrize(
@@ -119,7 +119,7 @@
     def write(self, data):
         self.written += data
 
-    async def writable(self):
+    async def drain(self):
         if not self.reads:
             await asyncio.sleep(10.0)
 
@@ -128,15 +128,15 @@
     """Pass on an answer of parts with pauses in seconds; return what was written."""
     loop = asyncio.get_running_loop()
     answer = gateway.Response(200, [])
-    request = gateway.Request(left=loop.create_future())
+    request = gateway.Request(disconnected=loop.create_future())
     writer = writer or Writer()
     delivery = asyncio.create_task(
-        _delivery.deliver(
+        _delivery.relay_response(
             request,
             answer,
             writer,
             closing=False,
-            give_up_at=loop.time() + give_up_after,
+            deadline=loop.time() + give_up_after,
         )
     )
     for pause in pauses:
@@ -168,7 +168,7 @@
     """Writing to it had to wait until its connection was lost."""
     connection, _ = test_front.connect(test_front.Process())
     connection.pause_writing()
-    writing = asyncio.create_task(connection.writable())
+    writing = asyncio.create_task(connection.drain())
     await asyncio.sleep(0.1)
     assert not writing.done()
     getattr(connection, leaving)(*([None] if leaving == "connection_lost" else []))
