--- a/boragegw/gateway/__init__.py
+++ b/boragegw/gateway/__init__.py
@@ -1,22 +1,15 @@
 """The lean gateway process: front, back, peers, knowledge; no platform's names."""
 
-from boragegw.gateway._asker import Selection, ServerSelector
-from boragegw.gateway._board import Blackboard
-from boragegw.gateway._call import (
-    AttemptOutcome,
-    RequestContext,
-    ServiceState,
-    request_fingerprint,
-)
-from boragegw.gateway._carrier import Forwarder
+from boragegw.gateway._blackboard import Blackboard
+from boragegw.gateway._caller_connection import BodyMemory, CallerConnection, Request
 from boragegw.gateway._catalogue import Catalogue
 from boragegw.gateway._dialect import Dialect, HealthResponse
 from boragegw.gateway._directory import DirectoryPolicy
 from boragegw.gateway._endpoint import Endpoint, EndpointResponse, path_of, query_of
-from boragegw.gateway._events import EventLog
+from boragegw.gateway._event_log import EventLog
 from boragegw.gateway._fetch import Fetched, Fetcher
 from boragegw.gateway._follower import Follower
-from boragegw.gateway._front import BodyMemory, CallerConnection, Request
+from boragegw.gateway._forwarder import Forwarder
 from boragegw.gateway._knowledge import (
     Decoder,
     HistoryLostError,
@@ -32,7 +25,14 @@
 from boragegw.gateway._peer_messages import Life, Member
 from boragegw.gateway._process import Gateway, GatewaySettings
 from boragegw.gateway._replication import PeerSource, ReplicaServer
+from boragegw.gateway._request_context import (
+    AttemptOutcome,
+    RequestContext,
+    ServiceState,
+    request_fingerprint,
+)
 from boragegw.gateway._sender import Sender
+from boragegw.gateway._server_selector import Selection, ServerSelector
 from boragegw.gateway._upstream import (
     ConnectionPool,
     ExchangeError,
--- a/boragegw/gateway/_front.py
+++ b/boragegw/gateway/_caller_connection.py
@@ -6,7 +6,7 @@
 
 import httptools
 
-from boragegw.gateway import _sockets
+from boragegw.gateway import _socket_options
 
 #: Requests of one connection that are read ahead of their turn.
 PIPELINE_LIMIT = 8
@@ -106,7 +106,7 @@
         """Take the transport and wait for a request."""
         self._transport = transport
         self._left = asyncio.get_running_loop().create_future()
-        _sockets.detect_silence(transport)
+        _socket_options.detect_silence(transport)
         self.gateway.connections.add(self)
         self._arm(self.gateway.limits.header_timeout, self._on_silence)
 
--- a/boragegw/gateway/_endpoint.py
+++ b/boragegw/gateway/_endpoint.py
@@ -5,7 +5,7 @@
 import logging
 
 from boragegw import balancing
-from boragegw.gateway import _front
+from boragegw.gateway import _caller_connection
 
 logger = logging.getLogger(__name__)
 
@@ -32,13 +32,13 @@
         self.limits = balancing.CallerLimits(body_bytes=0, idle_timeout=60.0)
         self.stopping = False
         self.connections = set()
-        self.body_memory = _front.BodyMemory()
+        self.body_memory = _caller_connection.BodyMemory()
 
     async def listen(self, address):
         """Accept connections on ``(host, port)`` and return the server."""
         loop = asyncio.get_running_loop()
         return await loop.create_server(
-            lambda: _front.CallerConnection(self), *address, backlog=512
+            lambda: _caller_connection.CallerConnection(self), *address, backlog=512
         )
 
     async def serve(self, request, writer):
--- a/boragegw/gateway/_carrier.py
+++ b/boragegw/gateway/_forwarder.py
@@ -5,7 +5,7 @@
 import math
 
 from boragegw import balancing, errors
-from boragegw.gateway import _call, _delivery, _sender, _upstream
+from boragegw.gateway import _request_context, _response_relay, _sender, _upstream
 
 Verdict = errors.Verdict
 
@@ -140,7 +140,7 @@
         if caller_timeout is None:
             caller_timeout = math.inf
         left = min(caller_timeout - DEADLINE_MARGIN, route.timeout)
-        return _call.RequestContext(
+        return _request_context.RequestContext(
             request, request_id, route, service, state, now, request.arrived + left
         )
 
@@ -160,7 +160,7 @@
         """Return the :class:`ServiceState` of a service."""
         state = self._services.get(service_name)
         if state is None:
-            state = self._services[service_name] = _call.ServiceState(
+            state = self._services[service_name] = _request_context.ServiceState(
                 self.make_budget(), self.make_probe_budget(), self.policies
             )
         return state
@@ -315,7 +315,7 @@
 
     async def _deliver(self, call, outcome, writer):
         try:
-            await _delivery.relay_response(
+            await _response_relay.relay_response(
                 call.request,
                 outcome.answer,
                 writer,
--- a/boragegw/gateway/_process.py
+++ b/boragegw/gateway/_process.py
@@ -7,17 +7,17 @@
 
 from boragegw import balancing
 from boragegw.gateway import (
-    _asker,
-    _carrier,
+    _caller_connection,
     _catalogue,
     _directory,
     _endpoint,
     _follower,
-    _front,
+    _forwarder,
     _membership,
     _peer_messages,
     _reconciliation,
     _replication,
+    _server_selector,
 )
 
 #: Seconds between looks at the sources of knowledge and at idle connections.
@@ -92,7 +92,7 @@
         self.log = log
         self.board = board
         self.connections = set()
-        self.body_memory = _front.BodyMemory()
+        self.body_memory = _caller_connection.BodyMemory()
         self._seeds = settings.seeds
         self._default_limits = balancing.CallerLimits()
         self._listeners = []
@@ -104,14 +104,14 @@
         policies = balancing.PolicySettings(settings.policies)
         shared = {"now": self.now, "log": self.log}
         drawn = {"random_state": self.random_state, **shared}
-        self.selector = _asker.ServerSelector(
+        self.selector = _server_selector.ServerSelector(
             self.board,
             self.dialect,
             policies.make("asking", data_centre=settings.data_centre),
             policies.make("warmup"),
             **drawn,
         )
-        self.forwarder = _carrier.Forwarder(
+        self.forwarder = _forwarder.Forwarder(
             self.board,
             self.dialect,
             self.selector,
@@ -230,7 +230,7 @@
         if caller_socket is not None:
             where = {"sock": caller_socket}
         listener = await loop.create_server(
-            lambda: _front.CallerConnection(self), backlog=BACKLOG, **where
+            lambda: _caller_connection.CallerConnection(self), backlog=BACKLOG, **where
         )
         self._listeners.append(listener)
         self.log.event("start", incarnation=self.local_member.incarnation)
--- a/boragegw/gateway/_sender.py
+++ b/boragegw/gateway/_sender.py
@@ -3,7 +3,12 @@
 import asyncio
 
 from boragegw import balancing, errors, utils
-from boragegw.gateway import _asker, _call, _delivery, _upstream
+from boragegw.gateway import (
+    _request_context,
+    _response_relay,
+    _server_selector,
+    _upstream,
+)
 
 Verdict = errors.Verdict
 
@@ -54,7 +59,7 @@
         """Return whether the request has crashed the backend servers that ran it."""
         if not self._quarantined:
             return False
-        mark = _call.request_fingerprint(request)
+        mark = _request_context.request_fingerprint(request)
         return self.quarantine.covers(self._quarantined, mark, self.now())
 
     async def send(self, call, hedge=False):
@@ -66,19 +71,25 @@
         for _ in range(PLACINGS):
             place = await self._find_place(call, hedge)
             if place is None:
-                return _call.AttemptOutcome(Verdict.NOT_RUN, reason="no room")
+                return _request_context.AttemptOutcome(
+                    Verdict.NOT_RUN, reason="no room"
+                )
             server = place.server
             pool = self.selector.pool(server)
             now = self.now()
             rejection = self._rejection_reason(call, place, now, hedge)
             if rejection:
                 pool.release(place.connection)
-                return _call.AttemptOutcome(Verdict.NOT_RUN, reason=rejection)
+                return _request_context.AttemptOutcome(
+                    Verdict.NOT_RUN, reason=rejection
+                )
             if self._still_fits(call, place):
                 break
             pool.release(place.connection)
         else:
-            return _call.AttemptOutcome(Verdict.NOT_RUN, reason="places were lost")
+            return _request_context.AttemptOutcome(
+                Verdict.NOT_RUN, reason="places were lost"
+            )
         call.tried.add(server.identity)
         call.sends += 1
         call.records.append(_record(call, place, now))
@@ -139,7 +150,7 @@
 
     async def _search(self, call):
         """Search once; return a place or ``None``, and whether no server answered."""
-        search = _asker.Search(
+        search = _server_selector.Search(
             call.service,
             call.state,
             call.tried,
@@ -202,7 +213,7 @@
                     lambda a: self.dialect.is_response_to(a, call.request_id),
                     without_body=call.request.method == b"HEAD",
                 )
-                await _delivery.buffer_response(
+                await _response_relay.buffer_response(
                     answer, lambda: self._hear(call, answer)
                 )
         except (_upstream.ExchangeError, TimeoutError) as error:
@@ -219,7 +230,7 @@
             )
             if reason is _upstream.Failure.RESET:
                 self._checks.start(self._check_crash(call, server), "crash check")
-            return _call.AttemptOutcome(
+            return _request_context.AttemptOutcome(
                 Verdict.MAY_HAVE_RUN, server=server, reason=reason.name
             )
         return self._read_answer(call, place, answer, now)
@@ -242,13 +253,13 @@
             self._observe_failure(server)
             if not answer.complete:
                 place.connection.abort()
-            return _call.AttemptOutcome(
+            return _request_context.AttemptOutcome(
                 Verdict.NOT_RUN, server=server, reason="server refused"
             )
         if not self.dialect.is_authentic(answer):
             place.connection.abort()
             self._observe_failure(server)
-            return _call.AttemptOutcome(
+            return _request_context.AttemptOutcome(
                 Verdict.MAY_HAVE_RUN, server=server, reason="not signed"
             )
         failed = answer.status >= 500
@@ -258,14 +269,14 @@
             call.state.hedging.observe(now - started)
         connection = None if answer.complete else place.connection
         reason = f"server answered {answer.status}" if failed else ""
-        return _call.AttemptOutcome(
+        return _request_context.AttemptOutcome(
             Verdict.RAN, answer, server, connection, reason=reason
         )
 
     async def _check_crash(self, call, server):
         if not await self.selector.has_crashed(server):
             return
-        mark = _call.request_fingerprint(call.request)
+        mark = _request_context.request_fingerprint(call.request)
         self.log.event(
             "server-crashed",
             server=server.identity,
@@ -288,7 +299,7 @@
 
 def _record(call, place, now):
     report = place.server.report
-    return _call.AttemptRecord(
+    return _request_context.AttemptRecord(
         server=place.server.identity,
         cost=round(place.offer.cost, 2),
         slowness=round(place.server.slowness(now), 2),
--- a/boragegw/gateway/_upstream.py
+++ b/boragegw/gateway/_upstream.py
@@ -6,7 +6,7 @@
 
 import httptools
 
-from boragegw.gateway import _sockets
+from boragegw.gateway import _socket_options
 
 #: Bytes of an answer that are held before reading from the backend server pauses.
 ANSWER_BUFFER = 256 * 1024
@@ -152,7 +152,7 @@
     def connection_made(self, transport):
         """Take the transport."""
         self._transport = transport
-        _sockets.detect_silence(transport)
+        _socket_options.detect_silence(transport)
 
     def data_received(self, data):
         """Parse what has arrived."""
--- a/boragegw/gateway/tests/test_body_memory.py
+++ b/boragegw/gateway/tests/test_body_memory.py
@@ -5,21 +5,21 @@
 import pytest
 
 from boragegw import gateway, standins
-from boragegw.gateway.tests import test_front
+from boragegw.gateway.tests import test_caller_connection
 
 in_memory = standins.in_memory
 
 
 def head(size, *lines):
     fields = [b"content-length: %d" % size, *lines]
-    return test_front.HEAD + b"\r\n".join(fields) + b"\r\n\r\n"
+    return test_caller_connection.HEAD + b"\r\n".join(fields) + b"\r\n\r\n"
 
 
 class Callers:
     """Connections to a process that holds at most ``limit`` bytes of bodies."""
 
     def __init__(self, limit):
-        self.process = test_front.Process()
+        self.process = test_caller_connection.Process()
         self.process.body_memory = gateway.BodyMemory(limit=limit)
 
     @property
@@ -27,11 +27,11 @@
         return self.process.body_memory.used_bytes
 
     def connect(self):
-        return test_front.connect(self.process)
+        return test_caller_connection.connect(self.process)
 
     async def statuses(self, *transports):
         await asyncio.sleep(0.01)
-        return [test_front.statuses(transport) for transport in transports]
+        return [test_caller_connection.statuses(transport) for transport in transports]
 
 
 @pytest.mark.parametrize(
@@ -111,7 +111,9 @@
     first, promised = callers.connect()
     first.data_received(head(80))
     second, chunked = callers.connect()
-    second.data_received(test_front.HEAD + b"transfer-encoding: chunked\r\n\r\n")
+    second.data_received(
+        test_caller_connection.HEAD + b"transfer-encoding: chunked\r\n\r\n"
+    )
     second.data_received(b"14\r\n" + b"z" * 20 + b"\r\n")
     assert await callers.statuses(chunked) == [[]]
     second.data_received(b"1\r\nz\r\n")
--- a/boragegw/platform/tests/test_time_limits.py
+++ b/boragegw/platform/tests/test_time_limits.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from boragegw import gateway, standins
-from boragegw.gateway.tests import test_front
+from boragegw.gateway.tests import test_caller_connection
 
 in_memory = standins.in_memory
 FRONT = ("gw-0", 8548)
@@ -121,18 +121,18 @@
 @in_memory
 async def test_body_without_room_is_refused_before_it_is_sent():
     """It is taken in part and dropped when the memory is full."""
-    process = test_front.Process()
+    process = test_caller_connection.Process()
     process.body_memory = gateway.BodyMemory(limit=100)
-    head = test_front.HEAD + b"content-length: 80\r\n\r\n"
-    first, kept = test_front.connect(process)
-    second, refused = test_front.connect(process)
+    head = test_caller_connection.HEAD + b"content-length: 80\r\n\r\n"
+    first, kept = test_caller_connection.connect(process)
+    second, refused = test_caller_connection.connect(process)
     first.data_received(head + b"z" * 10)
     second.data_received(head)
     await asyncio.sleep(0.01)
-    assert test_front.statuses(refused) == [503]
+    assert test_caller_connection.statuses(refused) == [503]
     first.data_received(b"z" * 70)
     await asyncio.sleep(0.01)
-    assert test_front.statuses(kept) == [200]
+    assert test_caller_connection.statuses(kept) == [200]
 
 
 @in_memory
