--- a/boragegw/gateway/_blackboard.py
+++ b/boragegw/gateway/_blackboard.py
@@ -1,4 +1,4 @@
-"""The blackboard of one gateway process: what is known, by writer."""
+"""Blackboard of one gateway process: shared state, with one writer for each field."""
 
 import asyncio
 import collections
@@ -11,21 +11,24 @@
 class Blackboard:
     """State that the controllers write and the request path reads.
 
-    :param configuration: the configuration in force, ``None`` before the first.
+    :param configuration: the configuration in force, ``None`` before the first one.
         Writer: the catalogue.
-    :param configured: set with the first configuration. Writer: the catalogue.
+    :param configured: event that is set with the first configuration. Writer: the
+        catalogue.
     :param servers: :class:`~boragegw.balancing.Server` by identity. Writer: the
-        catalogue; the carrier writes what it learns of each.
-    :param by_service: lists of the same servers. Writer: the catalogue.
-    :param evacuated: data centres that are taken out. Writer: the catalogue.
-    :param loading_snapshot: the first reading is arriving. Writer: the follower.
-    :param behind: this process knows less than another one. Writer: the follower.
-    :param processes: gateway processes that may be alive, this one included.
-        Writer: membership.
-    :param stopping: a planned stop has begun. Writer: the process.
+        catalogue; the request path updates the state of each server.
+    :param by_service: lists of the same servers by name of the service. Writer: the
+        catalogue.
+    :param evacuated: data centres that get no requests. Writer: the catalogue.
+    :param loading_snapshot: whether the first snapshot is arriving. Writer: the
+        follower.
+    :param behind: whether another process knows a later revision. Writer: the follower.
+    :param processes: number of gateway processes that may be alive, including this one.
+        Writer: the membership.
+    :param stopping: whether a graceful shutdown has begun. Writer: the process.
     :param counters: by name, see :data:`~boragegw.gateway.COUNTERS`. Writers: all.
-    :param histograms: :class:`~boragegw.gateway.Histogram` by name. Writer: the
-        request path.
+    :param histograms: :class:`~boragegw.gateway.Histogram` by name. Writer: the request
+        path.
     """
 
     configuration: object = None
@@ -46,5 +49,5 @@
 
     @property
     def ready(self):
-        """Whether requests can be served: a configuration is known, no stop begun."""
+        """Whether there is a configuration and no shutdown has begun."""
         return self.configuration is not None and not self.stopping
--- a/boragegw/gateway/_dialect.py
+++ b/boragegw/gateway/_dialect.py
@@ -1,4 +1,4 @@
-"""How requests and answers are spelled; implemented by the adapter of a platform."""
+"""Interface of the platform adapter that formats requests and interprets responses."""
 
 import abc
 import dataclasses
@@ -6,12 +6,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HealthResponse:
-    """A backend server's answer to the question for its load.
+    """A backend server's response to a health request.
 
-    :param healthy: it takes new work.
-    :param identity: which server answered; "" if it does not say.
+    :param healthy: whether the server accepts new requests.
+    :param identity: identity of the server that responded; "" if not stated.
     :param report: a :class:`~boragegw.balancing.LoadReport`, or ``None``.
-    :param cold_for: seconds for which it stays cold; ``None`` if it does not say.
+    :param cold_for: seconds for which the server stays cold; ``None`` if not stated.
     """
 
     healthy: bool
@@ -21,7 +21,7 @@
 
 
 class Dialect(abc.ABC):
-    """Header names and the meaning of answers on one platform."""
+    """Header names and meaning of responses on one platform."""
 
     @abc.abstractmethod
     def request_id(self, headers):
@@ -29,47 +29,51 @@
 
     @abc.abstractmethod
     def caller_timeout(self, headers):
-        """Return the seconds that the caller waits, or ``None`` if it does not say."""
+        """Return the seconds until the caller's deadline, or ``None``."""
 
     @abc.abstractmethod
     def request_head(self, request, server, seconds_left):
-        """Return the head of a request as it is sent to ``server``, in bytes."""
+        """Return the head of a request as it is sent to ``server``, in bytes.
+
+        :param seconds_left: seconds until the caller's deadline.
+        """
 
     @abc.abstractmethod
     def health_request(self, service, server):
-        """Return the bytes that ask ``server`` for its load."""
+        """Return the bytes of a health request, which asks ``server`` for its load."""
 
     @abc.abstractmethod
-    def is_health_response(self, answer):
-        """Return whether ``answer`` belongs to a question for load."""
+    def is_health_response(self, response):
+        """Return whether ``response`` belongs to a health request."""
 
     @abc.abstractmethod
-    def is_response_to(self, answer, request_id):
-        """Return whether ``answer`` belongs to the request with that id."""
+    def is_response_to(self, response, request_id):
+        """Return whether ``response`` belongs to the request with that id."""
 
     @abc.abstractmethod
-    def parse_health(self, answer, now):
-        """Return the :class:`HealthResponse` in ``answer``."""
+    def parse_health(self, response, now):
+        """Return the :class:`HealthResponse` in ``response``."""
 
     @abc.abstractmethod
-    def parse_load_report(self, answer, now):
-        """Return the load report on any answer, or ``None``."""
+    def parse_load_report(self, response, now):
+        """Return the load report in any response, or ``None``."""
 
     @abc.abstractmethod
-    def is_not_executed(self, answer):
-        """Return whether the backend server says that it did not run the request."""
+    def is_not_executed(self, response):
+        """Return whether the server states that it did not execute the request."""
 
     @abc.abstractmethod
-    def is_misdirected(self, answer):
-        """Return whether another server answered at the address."""
+    def is_misdirected(self, response):
+        """Return whether a server other than the expected one responded."""
 
     @abc.abstractmethod
-    def is_authentic(self, answer):
-        """Return whether a backend server made the answer."""
+    def is_authentic(self, response):
+        """Return whether a backend server sent the response, not an intermediary."""
 
     @abc.abstractmethod
     def error_response(self, status, request_id, retry_after=None, close=False):
-        """Return the bytes of an answer of our own.
+        """Return the bytes of a response that the gateway itself sends to a caller.
 
-        :param retry_after: seconds after which the caller may come back.
+        :param retry_after: seconds after which the caller may retry.
+        :param close: whether to announce that the connection will be closed.
         """
--- a/boragegw/gateway/_endpoint.py
+++ b/boragegw/gateway/_endpoint.py
@@ -1,4 +1,4 @@
-"""Small HTTP endpoints on the connections of the front: ready, directory, peers."""
+"""Small HTTP endpoints: readiness, directory, replication, status and metrics."""
 
 import asyncio
 import dataclasses
@@ -12,7 +12,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointResponse:
-    """An answer of an endpoint; ``encoding`` names how the body is compressed."""
+    """Response of an endpoint.
+
+    :param encoding: content encoding of the body, or empty.
+    """
 
     status: int
     body: bytes = b""
@@ -21,9 +24,11 @@
 
 
 class Endpoint:
-    """Serves one listening address.
+    """HTTP server on one listening address.
 
-    :param handler: coroutine function from a request to a :class:`EndpointResponse`.
+    :param handler: coroutine function that takes a request and returns an
+        :class:`EndpointResponse`.
+    :param now: function that returns monotonic seconds.
     """
 
     def __init__(self, handler, *, now):
@@ -42,30 +47,30 @@
         )
 
     async def serve(self, request, writer):
-        """Answer one request."""
-        reply = await self.handler(request)
-        writer.write(_bytes(reply, request.keep_alive))
+        """Respond to one request."""
+        response = await self.handler(request)
+        writer.write(_encode_response(response, request.keep_alive))
 
     def log_error(self, error):
         """Log an error of the handler."""
-        logger.error("endpoint failed", exc_info=error)
+        logger.error("HTTP endpoint: the handler failed", exc_info=error)
 
     def error_response(self, status, request):
-        """Return the answer to a request that was not accepted."""
-        return _bytes(EndpointResponse(status), False)
+        """Return the response to a request that was refused before it was complete."""
+        return _encode_response(EndpointResponse(status), False)
 
 
-def _bytes(reply, keep_alive):
+def _encode_response(response, keep_alive):
     lines = [
-        b"HTTP/1.1 %d Reply" % reply.status,
-        b"content-type: " + reply.content_type,
-        b"content-length: %d" % len(reply.body),
+        b"HTTP/1.1 %d Reply" % response.status,
+        b"content-type: " + response.content_type,
+        b"content-length: %d" % len(response.body),
     ]
-    if reply.encoding:
-        lines.append(b"content-encoding: " + reply.encoding)
+    if response.encoding:
+        lines.append(b"content-encoding: " + response.encoding)
     if not keep_alive:
         lines.append(b"connection: close")
-    return b"\r\n".join(lines) + b"\r\n\r\n" + reply.body
+    return b"\r\n".join(lines) + b"\r\n\r\n" + response.body
 
 
 def path_of(request):
@@ -77,13 +82,13 @@
     """Return the query of a request's target as a dictionary."""
     text = request.target.partition(b"?")[2].decode("latin-1")
     pairs = (part.partition("=") for part in text.split("&") if part)
-    return {_unquoted(name): _unquoted(value) for name, _, value in pairs}
+    return {_unquote(name): _unquote(value) for name, _, value in pairs}
 
 
-def _unquoted(text):
+def _unquote(text):
     if "%" not in text and "+" not in text:
         return text
-    # Rarely needed; the import takes 4 ms of every start.
+    # The import takes 4 ms of every start and is rarely needed.
     import urllib.parse
 
     return urllib.parse.unquote_plus(text)
--- a/boragegw/gateway/_event_log.py
+++ b/boragegw/gateway/_event_log.py
@@ -1,4 +1,4 @@
-"""Structured log: one JSON line for each decision, bounded and never blocking."""
+"""Structured log of one JSON line per event, rate-limited and non-blocking."""
 
 import collections
 import os
@@ -6,19 +6,20 @@
 
 import msgspec
 
-#: Lines of one kind that are written in a second; the rest is counted.
+#: Lines of one kind that are written in a second. Further lines are only counted.
 LINES_PER_SECOND = 20
-#: Bytes that wait for a reader of standard output that does not read.
+#: Bytes that are buffered while the reader of the log does not read.
 BACKLOG_BYTES = 256 * 1024
 
 
 class EventLog:
     """Writes events as JSON lines to a file descriptor.
 
-    :param process: name of this process, on each line.
+    :param process: name of this process, part of each line.
     :param now: function that returns monotonic seconds.
-    :param descriptor: file descriptor; it is made non-blocking, so a reader that
-        stops reading costs lines and never a request.
+    :param descriptor: file descriptor. It is made non-blocking: if its reader stops
+        reading, lines are dropped and requests are not delayed.
+    :param wall: function that returns the wall-clock time in seconds.
     """
 
     def __init__(self, process, now, descriptor=1, wall=time.time):
@@ -28,30 +29,30 @@
         self.wall = wall
         self._second = -1
         self._written = collections.Counter()
-        self._left_out = collections.Counter()
-        self._lost = 0
+        self._suppressed = collections.Counter()
+        self._dropped = 0
         self._backlog = bytearray()
         self._encode = msgspec.json.Encoder(enc_hook=str).encode
         os.set_blocking(descriptor, False)
 
     def event(self, kind, **fields):
-        """Write one line, unless this second has had its share of the kind."""
+        """Write one line, unless the limit of its kind is reached in this second."""
         second = int(self.now())
         if second != self._second:
             self._second = second
-            self._report_left_out()
+            self._report_suppressed()
         self._written[kind] += 1
         if self._written[kind] > LINES_PER_SECOND:
-            self._left_out[kind] += 1
+            self._suppressed[kind] += 1
             return
         self._write(kind, fields)
 
-    def _report_left_out(self):
+    def _report_suppressed(self):
         self._written.clear()
-        if self._left_out or self._lost:
-            counts = dict(self._left_out)
-            lost, self._lost = self._lost, 0
-            self._left_out.clear()
+        if self._suppressed or self._dropped:
+            counts = dict(self._suppressed)
+            lost, self._dropped = self._dropped, 0
+            self._suppressed.clear()
             self._write("left-out", {"lines": counts, "lost": lost})
 
     def _write(self, kind, fields):
@@ -61,16 +62,17 @@
         row.update(fields)
         line = self._encode(row) + b"\n"
         if len(self._backlog) + len(line) > BACKLOG_BYTES:
-            # The reader may have come back: without a try here it never would.
+            # The reader may have resumed. Without this flush, a full buffer would never
+            # shrink.
             self.flush()
         if len(self._backlog) + len(line) > BACKLOG_BYTES:
-            self._lost += 1
+            self._dropped += 1
             return
         self._backlog += line
         self.flush()
 
     def flush(self):
-        """Write what waits, as far as the reader takes it."""
+        """Write buffered lines as far as the reader accepts them."""
         if not self._backlog:
             return
         try:
@@ -78,8 +80,8 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody will read any more: count the lines and serve on.
-            self._lost += self._backlog.count(b"\n")
+            # The reader is gone: count the lines as lost and continue without logging.
+            self._dropped += self._backlog.count(b"\n")
             self._backlog.clear()
             return
         del self._backlog[:written]
--- a/boragegw/gateway/_metrics.py
+++ b/boragegw/gateway/_metrics.py
@@ -1,8 +1,8 @@
-"""Counters, gauges and latency histograms in the text format of Prometheus.
+"""Counters, gauges and latency histograms in the Prometheus text format.
 
-The library of that format is not imported: it takes 35 ms of processor time and
-4.5 MB, and would stall a process at its first scrape, which comes while somebody
-looks for the cause of a failure. Tests read the text with the library's own parser.
+The Prometheus client library is not imported. Its import takes 35 ms of processor time
+and 4.5 MB. It would stall a process at its first scrape, which often happens while
+somebody investigates a failure. Tests parse the text with the library's own parser.
 """
 
 import bisect
@@ -10,7 +10,7 @@
 PREFIX = "boragegw_"
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
-#: What each counter of this process counts; ``*`` stands for a label's value.
+#: Help texts of the counters by name; ``*`` stands for the value of a label.
 COUNTERS = {
     "requests.answered": "requests that ended with a backend server's answer",
     "requests.failed.*": "requests that the gateway ended itself, by status",
@@ -39,7 +39,7 @@
     "peers.datagrams_dropped": "datagrams dropped as foreign, damaged or repeated",
     "peers.send_errors": "datagrams that could not be delivered",
 }
-#: Label under which the variable part of a counter's name is shown.
+#: Label that holds the variable part of a counter's name.
 LABELS = {"requests.failed.*": "status", "requests.not_read.*": "status"}
 GAUGES = {
     "ready": "whether requests are accepted, 1 or 0",
@@ -55,66 +55,67 @@
     "attempt_seconds": "seconds from an attempt's send to its whole answer",
     "placing_seconds": "seconds from a request's first byte to its first send",
 }
-#: Upper bounds in seconds. Placing takes 2 to 30 ms, answers come within 0.05 to 0.8 s
-#: and are worth little after 1.5 s.
-BOUNDS = (0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1.0, 1.5, 3.0)
+#: Upper bounds of the histogram buckets in seconds. The time until the first attempt is
+#: 2 to 30 ms. Responses arrive within 0.05 to 0.8 s and have little value after 1.5 s.
+BUCKETS = (0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1.0, 1.5, 3.0)
 
 
 class Histogram:
-    """Counts of observations by upper bound."""
+    """Number of observations per bucket, and the sum of their values."""
 
     __slots__ = ("counts", "sum")
 
     def __init__(self):
-        self.counts = [0] * (len(BOUNDS) + 1)
+        self.counts = [0] * (len(BUCKETS) + 1)
         self.sum = 0.0
 
     def observe(self, seconds):
-        """Count one observation."""
-        self.counts[bisect.bisect_left(BOUNDS, seconds)] += 1
+        """Add one observation."""
+        self.counts[bisect.bisect_left(BUCKETS, seconds)] += 1
         self.sum += seconds
 
 
 def render_metrics(counters, gauges, histograms):
-    """Return all metrics as the text that a scraper reads, in bytes.
+    """Return all metrics in the Prometheus text format, in bytes.
 
     :param counters: values by name; names are those of :data:`COUNTERS`.
-    :param gauges: values by name, those of :data:`GAUGES`.
-    :param histograms: :class:`Histogram` by name, those of :data:`HISTOGRAMS`.
+    :param gauges: values by name; names are those of :data:`GAUGES`.
+    :param histograms: :class:`Histogram` by name; names are those of
+        :data:`HISTOGRAMS`.
     """
     lines = []
-    for name, text in COUNTERS.items():
-        lines += _counter_lines(name, text, counters)
-    for name, text in GAUGES.items():
-        lines += _head(name, "gauge", text)
+    for name, help_text in COUNTERS.items():
+        lines += _counter_lines(name, help_text, counters)
+    for name, help_text in GAUGES.items():
+        lines += _header_lines(name, "gauge", help_text)
         lines.append(f"{PREFIX}{name} {gauges[name]}")
-    for name, text in HISTOGRAMS.items():
-        lines += _head(name, "histogram", text)
+    for name, help_text in HISTOGRAMS.items():
+        lines += _header_lines(name, "histogram", help_text)
         lines += _histogram_lines(name, histograms[name])
     return ("\n".join(lines) + "\n").encode()
 
 
-def _head(name, kind, text):
-    return [f"# HELP {PREFIX}{name} {text}", f"# TYPE {PREFIX}{name} {kind}"]
+def _header_lines(name, kind, help_text):
+    return [f"# HELP {PREFIX}{name} {help_text}", f"# TYPE {PREFIX}{name} {kind}"]
 
 
-def _counter_lines(name, text, counters):
+def _counter_lines(name, help_text, counters):
     label = LABELS.get(name)
-    stem = name.removesuffix(".*")
-    shown = stem.replace(".", "_") + "_total"
-    yield from _head(shown, "counter", text)
+    base = name.removesuffix(".*")
+    metric = base.replace(".", "_") + "_total"
+    yield from _header_lines(metric, "counter", help_text)
     if label is None:
-        yield f"{PREFIX}{shown} {counters.get(name, 0)}"
+        yield f"{PREFIX}{metric} {counters.get(name, 0)}"
         return
-    for known in sorted(counters):
-        if known.startswith(stem + "."):
-            value = known.removeprefix(stem + ".")
-            yield f'{PREFIX}{shown}{{{label}="{value}"}} {counters[known]}'
+    for counter in sorted(counters):
+        if counter.startswith(base + "."):
+            value = counter.removeprefix(base + ".")
+            yield f'{PREFIX}{metric}{{{label}="{value}"}} {counters[counter]}'
 
 
 def _histogram_lines(name, histogram):
     total = 0
-    for bound, count in zip((*BOUNDS, "+Inf"), histogram.counts, strict=True):
+    for bound, count in zip((*BUCKETS, "+Inf"), histogram.counts, strict=True):
         total += count
         yield f'{PREFIX}{name}_bucket{{le="{bound}"}} {total}'
     yield f"{PREFIX}{name}_sum {round(histogram.sum, 6)}"
--- a/boragegw/gateway/tests/test_event_log.py
+++ b/boragegw/gateway/tests/test_event_log.py
@@ -1,4 +1,4 @@
-"""The log: bounded, never blocking, one JSON object a line."""
+"""The event log is rate-limited, non-blocking and writes one JSON object per line."""
 
 import json
 import os
@@ -31,7 +31,7 @@
     return data
 
 
-def test_a_line_says_who_when_and_what():
+def test_line_has_time_process_event_and_fields():
     log, reader = open_log([1.0])
     log.event("server-gone", server="i-1")
     (line,) = read_lines(reader)
@@ -60,8 +60,8 @@
     assert left_out["lines"] == {"request-failed": 980}
 
 
-def test_reader_that_does_not_read_costs_lines_and_never_blocks():
-    """Whoever collects the logs hangs. A blocking write would stop every request."""
+def test_stalled_reader_loses_lines_and_never_blocks():
+    """The log collector hangs. A blocking write would stop every request."""
     now = [0.0]
     log, reader = open_log(now)
     for second in range(2000):
@@ -78,14 +78,14 @@
     assert lines[-1]["event"] == "stopped"
 
 
-def test_reader_that_has_ended_does_not_end_the_process():
+def test_closed_reader_does_not_end_the_process():
     log, reader = open_log([1.0])
     os.close(reader)
     log.event("stopped")
 
 
-def test_every_kind_of_line_that_tells_of_trouble_is_documented():
-    """On call, a line that no page explains is worth little."""
+def test_every_event_is_documented():
+    """An operator needs an explanation of every log line in the documentation."""
     package = pathlib.Path(gateway.__file__).parents[1]
     page = (package.parent / "docs" / "OPERATIONS.md").read_text()
     pattern = re.compile(r"log\.event\(\s*\"([a-z-]+)\"")
