--- a/boragegw/gateway/__init__.py
+++ b/boragegw/gateway/__init__.py
@@ -1,6 +1,16 @@
-"""The lean gateway process: front, back, peers, knowledge; no platform's names."""
+"""The gateway process: request path, membership and replication of configuration.
+
+The package is independent of the platform. Names of headers, paths and settings are
+defined by a platform adapter, see :class:`Dialect`.
+"""
 
 from boragegw.gateway._blackboard import Blackboard
+from boragegw.gateway._call import (
+    AttemptOutcome,
+    Call,
+    ServiceState,
+    request_fingerprint,
+)
 from boragegw.gateway._caller_connection import BodyMemory, CallerConnection, Request
 from boragegw.gateway._catalogue import Catalogue
 from boragegw.gateway._dialect import Dialect, HealthResponse
@@ -25,12 +35,6 @@
 from boragegw.gateway._peer_messages import Life, Member
 from boragegw.gateway._process import Gateway, GatewaySettings
 from boragegw.gateway._replication import PeerSource, ReplicaServer
-from boragegw.gateway._request_context import (
-    AttemptOutcome,
-    RequestContext,
-    ServiceState,
-    request_fingerprint,
-)
 from boragegw.gateway._sender import Sender
 from boragegw.gateway._server_selector import Selection, ServerSelector
 from boragegw.gateway._upstream import (
@@ -50,7 +54,7 @@
     "ServerSelector",
     "Blackboard",
     "BodyMemory",
-    "RequestContext",
+    "Call",
     "Forwarder",
     "Catalogue",
     "UpstreamConnection",
--- /dev/null
+++ b/boragegw/gateway/_call.py
@@ -0,0 +1,121 @@
+"""State of one request, outcome of an attempt, and state of a service."""
+
+import dataclasses
+import hashlib
+
+from boragegw import balancing, errors
+
+Verdict = errors.Verdict
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class AttemptRecord:
+    """Log record of one attempt: the server and the figures behind its selection.
+
+    :param cost: expected time at the server, as a multiple of the usual time.
+    :param slowness: processing time at the server, as a multiple of the usual time.
+    :param load: requests that the server held according to its latest load report.
+    :param after: seconds since the request arrived.
+    """
+
+    server: str
+    cost: float
+    slowness: float
+    load: int | None
+    after: float
+
+
+@dataclasses.dataclass(slots=True, eq=False)
+class Call:
+    """State of one request while it is forwarded.
+
+    :param state: the service's :class:`ServiceState`.
+    :param admitted_at: monotonic seconds at which the request was complete, first in
+        the queue of its connection, and its route was known.
+    :param deadline: monotonic seconds at which the caller gets the final response.
+    :param tried: identities of the servers to which the request was sent.
+    :param attempts: number of times that the request was sent.
+    :param attempt_records: an :class:`AttemptRecord` for each attempt.
+    :param may_have_run: whether an attempt ended without proof that the request was not
+        executed.
+    :param last_progress_at: monotonic seconds of the first attempt or, if later, of the
+        last bytes of a usable response; ``None`` before the first attempt.
+    :param fallback_outcome: the outcome of an attempt with an error response, which is
+        passed on if no other attempt succeeds.
+    :param reason: why the latest attempt failed.
+    """
+
+    request: object
+    request_id: bytes
+    route: balancing.Route
+    service: balancing.ServiceSettings
+    state: object
+    admitted_at: float
+    deadline: float
+    tried: set = dataclasses.field(default_factory=set)
+    attempts: int = 0
+    attempt_records: list = dataclasses.field(default_factory=list)
+    may_have_run: bool = False
+    last_progress_at: float | None = None
+    fallback_outcome: object = None
+    reason: str = ""
+
+    @property
+    def idempotent(self):
+        """Whether the request may be executed more than once."""
+        return self.route.kind.idempotent
+
+
+@dataclasses.dataclass(slots=True, eq=False)
+class AttemptOutcome:
+    """Outcome of one attempt.
+
+    :param verdict: whether the request may have been executed by the server.
+    :param response: the backend server's response, complete or large enough to be
+        passed on.
+    :param connection: the connection that still carries an incomplete response.
+    :param reason: why the attempt failed, or "".
+    """
+
+    verdict: Verdict
+    response: object = None
+    server: object = None
+    connection: object = None
+    reason: str = ""
+
+    @property
+    def sent(self):
+        """Whether the request was sent to a backend server."""
+        return self.server is not None
+
+    @property
+    def successful(self):
+        """Whether the response can be passed to the caller without another attempt."""
+        return self.response is not None and self.response.status < 500
+
+
+class ServiceState:
+    """State that this process keeps for one service.
+
+    :param retry_budget: a :class:`~boragegw.balancing.RepeatBudget`.
+    :param probe_budget: a :class:`~boragegw.balancing.ProbeBudget`.
+    :param policies: a :class:`~boragegw.balancing.PolicySettings`.
+    """
+
+    def __init__(self, retry_budget, probe_budget, policies):
+        self.retry_budget = retry_budget
+        self.probe_budget = probe_budget
+        self.hedging = policies.make("hedging")
+        self.fullness = balancing.Fullness()
+        self.pace = policies.make("pace")
+        self.ranks = policies.make("ranks")
+        self.wait_queue = balancing.WaitingLine()
+
+
+def request_fingerprint(request):
+    """Return a digest that stays the same when a caller sends a request again."""
+    digest = hashlib.blake2b(digest_size=16)
+    for part in (request.method, request.header(b"host") or b"", request.target):
+        digest.update(part + b"\0")
+    digest.update(request.body)
+    return digest.digest()
--- a/boragegw/gateway/_caller_connection.py
+++ b/boragegw/gateway/_caller_connection.py
@@ -1,4 +1,4 @@
-"""Connections of callers: parses requests, keeps their order, sees callers leave."""
+"""Connections of callers: request parsing, pipelining, timeouts and disconnects."""
 
 import asyncio
 import collections
@@ -8,42 +8,45 @@
 
 from boragegw.gateway import _socket_options
 
-#: Requests of one connection that are read ahead of their turn.
+#: Requests of one connection that are read ahead while an earlier one is served.
 PIPELINE_LIMIT = 8
-#: Bytes of request bodies that this process holds for all callers together; with the
-#: answers in flight this stays well below the 200 MB of the smallest machines.
-BODY_MEMORY = 48 << 20
-#: Seconds of silence until which the rest of a refused request is read and dropped;
-#: closing earlier would reset the connection before the caller has read the refusal.
-LINGER = 0.5
+#: Bytes of request bodies that this process holds for all callers together. Together
+#: with the responses in flight, this stays well below the 200 MB of the smallest
+#: machines.
+BODY_MEMORY_BYTES = 48 << 20
+#: Seconds without data until which the rest of a refused request is read and discarded.
+#: Closing earlier would reset the connection before the caller has read the refusal.
+LINGER_TIMEOUT = 0.5
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Request:
-    """One request of a caller, whole.
+    """One complete request of a caller.
 
     :param method: bytes.
     :param target: path and query as sent.
     :param headers: pairs of bytes, names in lower case.
-    :param room: bytes of :class:`BodyMemory` that are reserved for its body.
-    :param arrived: monotonic seconds of its first byte.
-    :param disconnected: future that ends when the caller has left.
+    :param reserved_bytes: bytes of :class:`BodyMemory` that are reserved for the body.
+    :param arrived: monotonic seconds of the first byte.
+    :param keep_alive: whether the connection stays open after the response.
+    :param refused_status: HTTP status with which the request is refused, or 0.
+    :param disconnected: future that completes when the caller disconnects.
     """
 
     method: bytes = b""
     target: bytes = b""
     headers: list = dataclasses.field(default_factory=list)
     body: bytearray = dataclasses.field(default_factory=bytearray)
-    room: int = 0
+    reserved_bytes: int = 0
     arrived: float = 0.0
     keep_alive: bool = True
-    refused: int = 0
+    refused_status: int = 0
     disconnected: object = None
 
     def header(self, name):
         """Return the first value of ``name`` (bytes in lower case), or ``None``."""
-        for known, value in self.headers:
-            if known == name:
+        for header, value in self.headers:
+            if header == name:
                 return value
         return None
 
@@ -54,31 +57,35 @@
 
 
 class BodyMemory:
-    """Bytes of request bodies that this process holds or has promised to hold."""
+    """Memory budget for the request bodies that this process holds or expects.
 
-    def __init__(self, limit=BODY_MEMORY):
+    :param limit: maximum bytes.
+    :ivar used_bytes: bytes that are reserved.
+    """
+
+    def __init__(self, limit=BODY_MEMORY_BYTES):
         self.limit = limit
         self.used_bytes = 0
 
     def reserve(self, request, size):
-        """Reserve ``size`` more bytes for a request; return whether there is room."""
+        """Reserve ``size`` more bytes for a request; return whether they fit."""
         if self.used_bytes + size > self.limit:
             return False
         self.used_bytes += size
-        request.room += size
+        request.reserved_bytes += size
         return True
 
-    def free(self, request):
-        """Give back what is reserved for a request."""
-        self.used_bytes -= request.room
-        request.room = 0
+    def release(self, request):
+        """Release the bytes that are reserved for a request."""
+        self.used_bytes -= request.reserved_bytes
+        request.reserved_bytes = 0
 
 
 class CallerConnection(asyncio.Protocol):
     """One connection of a caller.
 
     :param gateway: has ``now``, ``limits``, ``stopping``, ``body_memory``,
-        ``refusal(status, request)``, ``note_error(error)`` and the coroutine
+        ``error_response(status, request)``, ``log_error(error)`` and the coroutine
         ``serve(request, writer)``.
     """
 
@@ -94,28 +101,28 @@
         self._task = None
         self._timer = None
         self._closing = False
-        self._deaf = False
-        self._linger_end = None
-        self._left = None
+        self._discarding_input = False
+        self._linger_deadline = None
+        self._disconnected = None
         self._can_write = None
         self._reading_paused = False
 
-    # Transport.
+    # Callbacks of the transport.
 
     def connection_made(self, transport):
-        """Take the transport and wait for a request."""
+        """Store the transport and wait for a request."""
         self._transport = transport
-        self._left = asyncio.get_running_loop().create_future()
-        _socket_options.detect_silence(transport)
+        self._disconnected = asyncio.get_running_loop().create_future()
+        _socket_options.enable_keepalive(transport)
         self.gateway.connections.add(self)
-        self._arm(self.gateway.limits.header_timeout, self._on_silence)
+        self._arm(self.gateway.limits.header_timeout, self._on_idle)
 
     def data_received(self, data):
-        """Parse what has arrived."""
-        if self._linger_end is not None:
+        """Parse received data."""
+        if self._linger_deadline is not None:
             self._linger()
             return
-        if self._closing or self._deaf:
+        if self._closing or self._discarding_input:
             return
         if not self._head_done:
             self._head_bytes += len(data)
@@ -127,28 +134,28 @@
             self._refuse_now(400)
             return
         too_long = self._head_bytes > self.gateway.limits.header_bytes
-        if not self._head_done and not self._deaf and too_long:
+        if not self._head_done and not self._discarding_input and too_long:
             self._refuse_now(431)
 
     def eof_received(self):
-        """Take a caller that closed its side for one that has left."""
-        self._mark_left()
+        """Treat a caller that closed its side of the connection as disconnected."""
+        self._mark_disconnected()
         return self._task is not None and not self._task.done()
 
     def connection_lost(self, exc):
-        """Tell the request in progress that nobody waits for its answer."""
+        """Mark the caller as disconnected and discard requests that were not served."""
         self._closing = True
-        self._mark_left()
+        self._mark_disconnected()
         self._disarm()
         self._drop_waiting()
         self.gateway.connections.discard(self)
 
     def pause_writing(self):
-        """Make writers wait: the caller reads more slowly than we write."""
+        """Make writers wait, because the caller reads too slowly."""
         self._can_write = asyncio.get_running_loop().create_future()
 
     def resume_writing(self):
-        """Let writers go on."""
+        """Let writers continue."""
         self._wake_writers()
         self._can_write = None
 
@@ -156,77 +163,80 @@
         if self._can_write is not None and not self._can_write.done():
             self._can_write.set_result(None)
 
-    # Parser.
+    # Callbacks of the parser.
 
     def on_message_begin(self):
         """Start a request."""
-        if self._deaf:
+        if self._discarding_input:
             return
-        self._request = Request(arrived=self.gateway.now(), disconnected=self._left)
+        self._request = Request(
+            arrived=self.gateway.now(), disconnected=self._disconnected
+        )
         self._head_done = False
 
     def on_url(self, url):
-        """Collect the target, which may come in pieces."""
-        if not self._deaf:
+        """Append to the target, which may arrive in pieces."""
+        if not self._discarding_input:
             self._request.target += url
 
     def on_header(self, name, value):
-        """Collect a header."""
-        if not self._deaf:
+        """Add a header."""
+        if not self._discarding_input:
             self._request.headers.append((name.lower(), value))
 
     def on_headers_complete(self):
-        """Check the head before any of the body is taken."""
-        if self._deaf:
+        """Check the head before any of the body is accepted."""
+        if self._discarding_input:
             return
         request = self._request
         request.method = self._parser.get_method()
         request.keep_alive = self._parser.should_keep_alive()
         self._head_done = True
         self._arm(self.gateway.limits.idle_timeout, self._on_slow_body)
-        # The parser stops behind a request that changes the protocol.
-        fault = 400 if self._parser.should_upgrade() else 0
-        fault = fault or _head_fault(request, self.gateway.limits)
-        fault = fault or self._room_fault(request)
-        if fault:
-            self._refuse_now(fault)
+        # The parser stops after a request that changes the protocol.
+        error_status = 400 if self._parser.should_upgrade() else 0
+        error_status = error_status or _head_error(request, self.gateway.limits)
+        error_status = error_status or self._body_memory_error(request)
+        if error_status:
+            self._refuse_now(error_status)
         elif request.header(b"expect") is not None:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _room_fault(self, request):
-        """Return 503 if there is no room for a body whose length is stated, or 0.
+    def _body_memory_error(self, request):
+        """Reserve memory for the stated body length; return 0, or 503 on failure.
 
-        Room is promised for the whole of it: one that is taken in part and then refused
-        has cost its caller the time to send it.
+        The whole length is reserved. If a body were accepted in part and refused later,
+        its caller would have spent the time to send it for nothing.
         """
         stated = int(request.header(b"content-length") or 0)
         return 0 if self.gateway.body_memory.reserve(request, stated) else 503
 
     def on_body(self, data):
-        """Collect the body within the limits."""
-        if self._deaf:
+        """Append to the body within the limits."""
+        if self._discarding_input:
             return
         request = self._request
         size = len(request.body) + len(data)
         if size > self.gateway.limits.body_bytes:
             self._refuse_now(413)
-        elif not self._has_room(request, size):
+        elif not self._reserve_body(request, size):
             self._refuse_now(503)
         else:
             request.body += data
             self._arm(self.gateway.limits.idle_timeout, self._on_slow_body)
 
-    def _has_room(self, request, size):
-        """Return whether a body may grow to ``size`` bytes.
+    def _reserve_body(self, request, size):
+        """Reserve memory for a body of ``size`` bytes; return whether it fits.
 
-        One that comes in chunks does not state its length: it takes what is left.
+        A chunked body does not state its length, so it uses memory that is not reserved
+        for other bodies.
         """
-        lacking = max(0, size - request.room)
-        return self.gateway.body_memory.reserve(request, lacking)
+        missing = max(0, size - request.reserved_bytes)
+        return self.gateway.body_memory.reserve(request, missing)
 
     def on_message_complete(self):
         """Serve the request, or queue it behind the one in progress."""
-        if self._deaf:
+        if self._discarding_input:
             return
         request, self._request = self._request, None
         self._head_done = False
@@ -236,11 +246,11 @@
         if len(self._waiting) > PIPELINE_LIMIT and not self._reading_paused:
             self._reading_paused = True
             self._transport.pause_reading()
-        self._next()
+        self._serve_next()
 
-    # Order of requests.
+    # Pipelining.
 
-    def _next(self):
+    def _serve_next(self):
         if self._task is not None or not self._waiting or self._closing:
             return
         request = self._waiting.popleft()
@@ -253,79 +263,80 @@
     async def _serve(self, request):
         self.served += 1
         try:
-            if request.refused:
+            if request.refused_status:
                 request.keep_alive = False
-                self.write(self.gateway.error_response(request.refused, request))
+                self.write(self.gateway.error_response(request.refused_status, request))
             else:
                 await self.gateway.serve(request, self)
         except Exception as error:
-            # A defect here must show as a broken connection, never as silence.
+            # An internal error must be visible as a closed connection. The caller must
+            # not wait for a response that never comes.
             self.gateway.log_error(error)
             self.abort()
         finally:
-            self.gateway.body_memory.free(request)
+            self.gateway.body_memory.release(request)
             self._task = None
         if self._closing:
             return
-        if not request.keep_alive or self.gateway.stopping or self._left.done():
+        if not request.keep_alive or self.gateway.stopping or self._disconnected.done():
             self.close()
         else:
-            self._arm(self.gateway.limits.idle_timeout, self._on_silence)
-            self._next()
+            self._arm(self.gateway.limits.idle_timeout, self._on_idle)
+            self._serve_next()
 
     def _drop_waiting(self):
         for request in self._waiting:
-            self.gateway.body_memory.free(request)
+            self.gateway.body_memory.release(request)
         self._waiting.clear()
         if self._request is not None:
             self._drop_body(self._request)
 
     def _drop_body(self, request):
-        self.gateway.body_memory.free(request)
+        self.gateway.body_memory.release(request)
         request.body = bytearray()
 
     # Writing.
 
     def write(self, data):
-        """Write bytes of the answer to the request in progress."""
+        """Write bytes of the response to the request in progress."""
         if not self._closing:
             self._transport.write(data)
 
     async def drain(self):
-        """Wait until the caller has read enough, or has left."""
+        """Wait until the write buffer has drained or the caller has disconnected."""
         if self._can_write is not None:
             await self._can_write
 
     def close(self):
-        """Close after what was written has been sent.
+        """Close the connection after pending data has been sent.
 
-        Guards against a refusal that is lost: the caller may still be sending, and
-        closing with unread bytes resets the connection before it has read the
-        refusal. What still comes is read and dropped until the caller is silent, but
-        not for longer than a silent one may keep its connection.
+        Guards against a lost refusal. The caller may still be sending, and closing with
+        unread data resets the connection before the caller has read the refusal.
+        Further data is read and discarded until the caller stops sending, but no longer
+        than the idle timeout.
         """
         if self._closing:
             return
         self._closing = True
-        if not self._deaf or not self._transport.can_write_eof():
+        if not self._discarding_input or not self._transport.can_write_eof():
             self._transport.close()
             return
         self._transport.write_eof()
-        self._linger_end = self.gateway.now() + self.gateway.limits.idle_timeout
+        self._linger_deadline = self.gateway.now() + self.gateway.limits.idle_timeout
         self._linger()
 
     def _linger(self):
-        left = self._linger_end - self.gateway.now()
-        self._arm(max(0.0, min(LINGER, left)), self._transport.close)
+        remaining = self._linger_deadline - self.gateway.now()
+        self._arm(max(0.0, min(LINGER_TIMEOUT, remaining)), self._transport.close)
 
     def abort(self):
-        """Break off, so that a half answer cannot look complete."""
+        """Close at once, so that the caller detects a partial response."""
         self._closing = True
         self._transport.abort()
 
     @property
     def idle(self):
-        """Whether no request is being read or served."""
+        """Whether no request is being read, queued or served."""
         return self._task is None and self._request is None and not self._waiting
 
     # Timers.
@@ -340,7 +351,7 @@
             self._timer.cancel()
             self._timer = None
 
-    def _on_silence(self):
+    def _on_idle(self):
         if self.idle:
             self.close()
 
@@ -351,35 +362,35 @@
         self._refuse_now(408)
 
     def _refuse_now(self, status):
-        """Refuse the request that is being read at once, take no more, and close.
+        """Refuse the request that is being read, ignore further input, and close.
 
-        The requests before it are still served; a refusal in their place would
-        belong to another request.
+        Earlier requests are still served first. A refusal sent before their responses
+        would be taken for the response to another request.
         """
         request = self._request or Request(
-            arrived=self.gateway.now(), disconnected=self._left
+            arrived=self.gateway.now(), disconnected=self._disconnected
         )
         self._drop_body(request)
         self._request = None
-        self._deaf = True
+        self._discarding_input = True
         self._disarm()
-        request.refused = status
+        request.refused_status = status
         request.keep_alive = False
         self._waiting.append(request)
-        self._next()
+        self._serve_next()
 
-    def _mark_left(self):
-        if not self._left.done():
-            self._left.set_result(None)
+    def _mark_disconnected(self):
+        if not self._disconnected.done():
+            self._disconnected.set_result(None)
         self._wake_writers()
 
 
-def _head_fault(request, limits):
-    """Return the status to refuse a request with for its head, or 0.
+def _head_error(request, limits):
+    """Return the status with which to refuse a request because of its head, or 0.
 
-    Guards against request smuggling: a request with two lengths, or with a length and
-    chunks, could be read as two requests behind us; one with two hosts could be
-    routed by the one and served by the other.
+    Guards against request smuggling. A backend server could read a request with two
+    lengths, or with a length and chunked encoding, as two requests. A request with two
+    hosts could be routed by one and served by the other.
     """
     lengths = 0
     encodings = 0
--- a/boragegw/gateway/_process.py
+++ b/boragegw/gateway/_process.py
@@ -1,4 +1,4 @@
-"""One gateway process: listeners, controllers, planned stop."""
+"""One gateway process: components, listeners, background tasks, graceful shutdown."""
 
 import asyncio
 import dataclasses
@@ -20,31 +20,38 @@
     _server_selector,
 )
 
-#: Seconds between looks at the sources of knowledge and at idle connections.
-CHECK_INTERVAL = 0.1
-SWEEP_INTERVAL = 2.0
-#: Shares of the time allowed for a planned stop: after the first the listeners close,
-#: and by the second the process has ended. Callers keep addresses for some seconds,
-#: so a process that leaves goes on accepting for a while.
+#: Seconds between checks of the sources of published records, and between checks for
+#: expired idle connections.
+SOURCE_CHECK_INTERVAL = 0.1
+IDLE_CHECK_INTERVAL = 2.0
+#: Shares of the shutdown timeout. After the first share the listeners close, and by the
+#: second one the process has stopped. Callers cache addresses for some seconds, so a
+#: process that is shutting down continues to accept connections for a while.
 ACCEPT_SHARE = 0.62
-END_SHARE = 0.93
-#: Connections that wait to be accepted while the process is busy.
-BACKLOG = 512
+STOP_SHARE = 0.93
+#: Maximum number of connections that wait to be accepted while the process is busy.
+LISTEN_BACKLOG = 512
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """What a gateway process needs to know at its start.
+    """Settings that a gateway process needs at its start.
 
+    :param name: name of the process, unique among the gateway processes.
+    :param data_centre: data centre in which the process runs.
     :param caller_address: ``(host, port)`` for callers.
     :param peer_address: ``(host, port)`` for other processes, TCP and UDP.
     :param seeds: hosts on which other processes may run.
     :param shutdown_timeout: seconds from SIGTERM until the process is killed.
-    :param link_mbps: megabits a second of the machine's link.
-    :param bootstrap: the whole system starts for the first time, without callers.
+    :param link_mbps: bandwidth of the machine's link in megabits per second.
+    :param bootstrap: whether the whole system starts for the first time, without
+        callers.
     :param retry_budget_ratio: see :class:`~boragegw.balancing.RepeatBudget`.
-    :param probe_rate: questions per backend server and second of the whole fleet.
-    :param policies: parameters of policies that differ from their defaults, see
+    :param retry_budget_window: see there; seconds.
+    :param retry_budget_slack: see there; requests.
+    :param probe_rate: probes per second to each backend server, of all gateway
+        processes together.
+    :param policies: policy parameters that differ from their defaults, see
         :class:`~boragegw.balancing.PolicySettings`.
     """
 
@@ -64,12 +71,14 @@
 
 
 class Gateway:
-    """Serves callers; everything else keeps its board current.
+    """Serves callers and runs the components that keep its blackboard current.
 
     :param settings: :class:`GatewaySettings`.
     :param dialect: a :class:`Dialect`.
     :param decoder: a :class:`Decoder`.
     :param store: the platform's store, a :class:`Source`.
+    :param board: the :class:`Blackboard`.
+    :param log: an :class:`EventLog`.
     :param now: function that returns monotonic seconds.
     """
 
@@ -103,28 +112,28 @@
         settings = self.settings
         policies = balancing.PolicySettings(settings.policies)
         shared = {"now": self.now, "log": self.log}
-        drawn = {"random_state": self.random_state, **shared}
+        randomized = {"random_state": self.random_state, **shared}
         self.selector = _server_selector.ServerSelector(
             self.board,
             self.dialect,
             policies.make("asking", data_centre=settings.data_centre),
             policies.make("warmup"),
-            **drawn,
+            **randomized,
         )
         self.forwarder = _forwarder.Forwarder(
             self.board,
             self.dialect,
             self.selector,
-            self._make_budget,
+            self._make_retry_budget,
             lambda: balancing.ProbeBudget(settings.probe_rate),
             policies,
-            **drawn,
+            **randomized,
         )
         self.catalogue = _catalogue.Catalogue(
             self.board,
             decoder,
-            on_addresses_gone=self.selector.forget,
-            on_joined=self.selector.welcome,
+            on_addresses_gone=self.selector.close_pools,
+            on_joined=self.selector.on_server_joined,
             **shared,
         )
         self.local_member = _peer_messages.Member(
@@ -132,13 +141,13 @@
             incarnation=int.from_bytes(os.urandom(8), "big") >> 1,
             beat=0,
             data_centre=settings.data_centre,
-            front=_joined(settings.caller_address),
-            peer=_joined(settings.peer_address),
+            front=_join_address(settings.caller_address),
+            peer=_join_address(settings.peer_address),
             link=settings.link_mbps,
             replica_format=_peer_messages.REPLICA_FORMAT,
         )
         self.membership = _membership.Membership(
-            self.board, self.local_member, self._seed_addresses, **drawn
+            self.board, self.local_member, self._seed_addresses, **randomized
         )
         self.follower = _follower.Follower(
             self.catalogue,
@@ -146,20 +155,20 @@
             store,
             self._peer_source,
             first_start=settings.bootstrap,
-            **drawn,
+            **randomized,
         )
         self.reconciler = _reconciliation.Reconciler(
-            self.catalogue, self.membership, self._peer_source, **drawn
+            self.catalogue, self.membership, self._peer_source, **randomized
         )
         self.replicas = _replication.ReplicaServer(
             self.catalogue, now=self.now, incarnation=self.local_member.incarnation
         )
         self.directory = _directory.DirectoryPolicy()
-        self.catalogue.on_change = self._note_ready
+        self.catalogue.on_change = self._announce_ready
         self.membership.on_crash = self.forwarder.sender.observe_crash
-        self.forwarder.sender.spread_crash = self.membership.spread_crash
+        self.forwarder.sender.broadcast_crash = self.membership.spread_crash
 
-    def _make_budget(self):
+    def _make_retry_budget(self):
         settings = self.settings
         return balancing.RepeatBudget(
             settings.retry_budget_ratio,
@@ -180,17 +189,17 @@
         port = self.settings.peer_address[1]
         return [(host, port) for host in self._seeds]
 
-    # What the front's connections use.
+    # Interface for the callers' connections.
 
     @property
     def limits(self):
-        """Bounds on what callers may send."""
+        """Limits on requests of callers."""
         configuration = self.board.configuration
         return self._default_limits if configuration is None else configuration.limits
 
     @property
     def stopping(self):
-        """Whether a planned stop has begun."""
+        """Whether a graceful shutdown has begun."""
         return self.board.stopping
 
     async def serve(self, request, writer):
@@ -198,7 +207,10 @@
         await self.forwarder.forward(request, writer)
 
     def error_response(self, status, request):
-        """Return the answer to a request that was not read to its end; tell of it."""
+        """Log and count a request that was refused before it was complete.
+
+        Return the response to it.
+        """
         request_id = self.dialect.request_id(request.headers)
         self.board.counters[f"requests.not_read.{status}"] += 1
         self.log.event(
@@ -211,80 +223,90 @@
         return self.dialect.error_response(status, request_id, None, True)
 
     def log_error(self, error):
-        """Log an error that ended a request without an answer."""
+        """Log an internal error that ended a request without a response."""
         self.board.counters["requests.defects"] += 1
         self.log.event("request-defect", error=repr(error))
 
-    # Life.
+    # Life cycle.
 
     async def start(self, caller_socket=None):
-        """Listen and begin to learn.
+        """Start the listeners and the background tasks.
 
-        :param caller_socket: a socket that listens for callers already, or ``None``.
+        :param caller_socket: a socket that already listens for callers, or ``None``.
         """
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
             lambda: self.membership, local_addr=self.settings.peer_address
         )
-        where = dict(zip(("host", "port"), self.settings.caller_address, strict=True))
+        listen_on = dict(
+            zip(("host", "port"), self.settings.caller_address, strict=True)
+        )
         if caller_socket is not None:
-            where = {"sock": caller_socket}
+            listen_on = {"sock": caller_socket}
         listener = await loop.create_server(
-            lambda: _caller_connection.CallerConnection(self), backlog=BACKLOG, **where
+            lambda: _caller_connection.CallerConnection(self),
+            backlog=LISTEN_BACKLOG,
+            **listen_on,
         )
         self._listeners.append(listener)
         self.log.event("start", incarnation=self.local_member.incarnation)
         self.membership.tick()
-        self._run(self.follower.run())
-        self._run(self.reconciler.run())
-        self._run(self._every(_membership.INTERVAL, self.membership.tick))
-        self._run(self._every(CHECK_INTERVAL, self.follower.check))
-        self._run(self._every(SWEEP_INTERVAL, self.selector.sweep))
+        self._start_task(self.follower.run())
+        self._start_task(self.reconciler.run())
+        self._start_task(
+            self._run_periodically(_membership.INTERVAL, self.membership.tick)
+        )
+        self._start_task(
+            self._run_periodically(SOURCE_CHECK_INTERVAL, self.follower.check)
+        )
+        self._start_task(
+            self._run_periodically(IDLE_CHECK_INTERVAL, self.selector.sweep)
+        )
 
     async def listen(self, handler, address):
-        """Serve ``handler`` on ``address`` besides, until the process ends."""
+        """Serve ``handler`` on another ``address`` until the process ends."""
         endpoint = _endpoint.Endpoint(handler, now=self.now)
         return await endpoint.listen(address)
 
-    def _run(self, coroutine):
+    def _start_task(self, coroutine):
         task = asyncio.get_running_loop().create_task(coroutine)
-        task.add_done_callback(self._note_end)
+        task.add_done_callback(self._on_task_done)
         self._tasks.append(task)
 
-    def _note_end(self, task):
+    def _on_task_done(self, task):
         if not task.cancelled() and task.exception() is not None:
             self.log.event("task-failed", error=repr(task.exception()))
             raise SystemExit(1)
 
-    async def _every(self, interval, action):
+    async def _run_periodically(self, interval, action):
         while True:
             await asyncio.sleep(interval)
             action()
 
-    def _note_ready(self):
+    def _announce_ready(self):
         if self.board.ready and self.local_member.life == _peer_messages.Life.STARTING:
             self.local_member.life = _peer_messages.Life.READY
             self.log.event("ready", position=self.catalogue.position)
             self.membership.announce()
 
     def update_seeds(self, seeds):
-        """Use other seeds from now on."""
+        """Replace the seeds."""
         if tuple(seeds) != tuple(self._seeds):
             self.log.event("seeds", seeds=list(seeds))
             self._seeds = tuple(seeds)
 
     def entries_for(self, data_centre):
-        """Return the addresses that a caller in ``data_centre`` is told to use."""
+        """Return the addresses that callers in ``data_centre`` should use."""
         members = self.membership.ready()
         chosen = self.directory.choose(members, data_centre, self.random_state)
         return [member.front for member in chosen]
 
     async def stop(self):
-        """Stop as planned: cut off nobody.
+        """Shut down gracefully, without cutting off requests.
 
-        Told first: the other processes, so that no directory names this one. Callers
-        that still hold its address are served until the listeners close; whatever
-        has been read by then gets its whole answer.
+        The other processes are informed first, so that no directory returns the address
+        of this one any more. Callers that still use the address are served until the
+        listeners close. Requests that have been read by then get a complete response.
         """
         started = self.now()
         self.board.stopping = True
@@ -296,7 +318,7 @@
         for listener in self._listeners:
             listener.close()
         self._close_idle()
-        end = started + END_SHARE * self.settings.shutdown_timeout
+        end = started + STOP_SHARE * self.settings.shutdown_timeout
         while self.connections and self.now() < end:
             await asyncio.sleep(0.02)
             self._close_idle()
@@ -312,5 +334,5 @@
                 connection.close()
 
 
-def _joined(address):
+def _join_address(address):
     return f"{address[0]}:{address[1]}"
--- a/boragegw/gateway/_sender.py
+++ b/boragegw/gateway/_sender.py
@@ -1,42 +1,49 @@
-"""Sends a request once: finds a place, exchanges, and judges the answer."""
+"""A single attempt: server selection, exchange, and classification of the response."""
 
 import asyncio
 
 from boragegw import balancing, errors, utils
 from boragegw.gateway import (
-    _request_context,
-    _response_relay,
+    _call,
+    _delivery,
     _server_selector,
     _upstream,
 )
 
 Verdict = errors.Verdict
 
-#: Seconds that must be left for a send to make sense.
-LEAST_TIME = 0.02
-#: Seconds after the final answer at which a send that nobody cancelled ends.
-OVERTIME = 0.05
-#: Searches that no server answered after which a request is given up: the first meets
-#: connections that something has silently forgotten, the second new ones.
-SILENT_SEARCHES = 1
-#: Times that a request is placed anew because its place was lost before the send.
-PLACINGS = 3
-#: Share of the expected time that must be left: the expectation is a median, and half
-#: of the requests take less.
-LEAST_SHARE = 0.7
-#: Share of the time left within which a slow server must be expected to answer. One at
-#: twelve times its usual time was given requests with 1.1 s left; all of them ran into
-#: their deadline, while a refusal would have brought them back to another one.
-SLOW_SHARE = 0.7
+#: Seconds that must remain before the deadline for an attempt to be made.
+MIN_REMAINING_TIME = 0.02
+#: Seconds after the request's deadline at which an attempt that was not cancelled ends.
+ATTEMPT_GRACE = 0.05
+#: Searches without any response that are repeated even if the request may not wait any
+#: longer. The first search may use idle connections that the network has silently
+#: dropped; the repeated one opens new connections.
+MAX_UNANSWERED_SEARCHES = 1
+#: Times that a server is selected for one attempt. A selection can become invalid
+#: before the request is sent.
+MAX_SELECTIONS = 3
+#: Share of the expected time that must remain before the deadline for an attempt to be
+#: made. The expected time is a median, and half of the requests take less.
+MIN_WAIT_SHARE = 0.7
+#: Share of the remaining time within which a slow server must be expected to respond.
+#: Without this limit, a server at twelve times its usual time was given requests with
+#: 1.1 s left. All of them timed out, while a refusal would have let the caller retry on
+#: another server.
+SLOW_SERVER_TIME_SHARE = 0.7
 
 
 class Sender:
-    """Sends requests to backend servers and learns from how that ends.
+    """Sends requests to backend servers and updates the servers' state by the outcome.
 
     :param board: the :class:`Blackboard`.
     :param dialect: a :class:`Dialect`.
-    :param selector: an :class:`ServerSelector`.
+    :param selector: a :class:`ServerSelector`.
     :param shedding: a :class:`~boragegw.balancing.SheddingPolicy`.
+    :param now: function that returns monotonic seconds.
+    :param log: an :class:`EventLog`.
+    :ivar broadcast_crash: function that reports the fingerprint of a request to the
+        other processes after a crash, or ``None``.
     """
 
     def __init__(self, board, dialect, selector, shedding, *, now, log):
@@ -46,110 +53,107 @@
         self.shedding = shedding
         self.now = now
         self.log = log
-        # A crash may have another cause than the request, so one crash condemns no
-        # request; three with the same content in a row are no chance.
+        # A crash may have another cause than the request, so a single crash quarantines
+        # nothing. Three crashes in a row with the same request content are hardly a
+        # coincidence.
         self.quarantine = balancing.QuarantinePolicy(
             idempotent_crashes=3, non_idempotent_crashes=3, duration=60.0
         )
-        self.spread_crash = None
+        self.broadcast_crash = None
         self._quarantined = {}
-        self._checks = utils.TaskSet()
+        self._crash_checks = utils.TaskSet()
 
     def is_quarantined(self, request):
-        """Return whether the request has crashed the backend servers that ran it."""
+        """Return whether the request has crashed the servers that executed it."""
         if not self._quarantined:
             return False
-        mark = _request_context.request_fingerprint(request)
-        return self.quarantine.covers(self._quarantined, mark, self.now())
+        fingerprint = _call.request_fingerprint(request)
+        return self.quarantine.covers(self._quarantined, fingerprint, self.now())
 
     async def send(self, call, hedge=False):
-        """Place the request and send it; return an :class:`AttemptOutcome`.
+        """Select a server and send the request; return an :class:`AttemptOutcome`.
 
-        :param call: a :class:`RequestContext`.
-        :param hedge: another send of the request is still running.
+        :param call: a :class:`Call`.
+        :param hedge: whether another attempt of the request is still running.
         """
-        for _ in range(PLACINGS):
-            place = await self._find_place(call, hedge)
-            if place is None:
-                return _request_context.AttemptOutcome(
-                    Verdict.NOT_RUN, reason="no room"
-                )
-            server = place.server
+        for _ in range(MAX_SELECTIONS):
+            selection = await self._select_server(call, hedge)
+            if selection is None:
+                return _call.AttemptOutcome(Verdict.NOT_RUN, reason="no room")
+            server = selection.server
             pool = self.selector.pool(server)
             now = self.now()
-            rejection = self._rejection_reason(call, place, now, hedge)
+            rejection = self._rejection_reason(call, selection, now, hedge)
             if rejection:
-                pool.release(place.connection)
-                return _request_context.AttemptOutcome(
-                    Verdict.NOT_RUN, reason=rejection
-                )
-            if self._still_fits(call, place):
+                pool.release(selection.connection)
+                return _call.AttemptOutcome(Verdict.NOT_RUN, reason=rejection)
+            if self._is_still_valid(call, selection):
                 break
-            pool.release(place.connection)
+            pool.release(selection.connection)
         else:
-            return _request_context.AttemptOutcome(
-                Verdict.NOT_RUN, reason="places were lost"
-            )
+            return _call.AttemptOutcome(Verdict.NOT_RUN, reason="places were lost")
         call.tried.add(server.identity)
-        call.sends += 1
-        call.records.append(_record(call, place, now))
+        call.attempts += 1
+        call.attempt_records.append(_attempt_record(call, selection, now))
         self.board.counters["attempts.sent"] += 1
-        if call.sends == 1:
-            call.quiet_since = now
+        if call.attempts == 1:
+            call.last_progress_at = now
             waited = now - call.request.arrived
             self.board.histograms["placing_seconds"].observe(waited)
         server.own_in_flight += 1
         server.tried_first = False
         try:
-            outcome = await self._exchange(call, place, now)
+            outcome = await self._exchange(call, selection, now)
         except asyncio.CancelledError:
-            pool.discard(place.connection)
+            pool.discard(selection.connection)
             raise
         finally:
             server.own_in_flight -= 1
         if outcome.connection is None:
-            pool.release(place.connection)
+            pool.release(selection.connection)
         return outcome
 
-    async def _find_place(self, call, hedge):
-        """Return a place, after a short wait for room if need be."""
-        place, was_silent = await self._search(call)
-        if place is not None or hedge:
-            return place
-        line = call.state.line
-        line.enter(call.route.priority)
+    async def _select_server(self, call, hedge):
+        """Return a selection, after a short wait for free capacity if necessary."""
+        selection, unanswered = await self._search(call)
+        if selection is not None or hedge:
+            return selection
+        queue = call.state.wait_queue
+        queue.enter(call.route.priority)
         try:
-            return await self._wait_for_place(call, was_silent)
+            return await self._wait_for_capacity(call, unanswered)
         finally:
-            line.leave(call.route.priority)
+            queue.leave(call.route.priority)
 
-    async def _wait_for_place(self, call, was_silent):
-        """Search again until the request has waited long enough for room.
+    async def _wait_for_capacity(self, call, unanswered):
+        """Search again until the request has waited as long as it may for capacity.
 
-        Where no server answered at all, the connections were silent: they are closed
-        by then, and the next search opens new ones. Requests behind more urgent ones
-        of this process leave the search to those.
+        If no server responded at all, the idle connections were dead. They are closed
+        by then, and the next search opens new ones. Requests that queue behind more
+        urgent ones of this process do not search.
         """
-        hold_until = self._hold_until(call)
-        silent_searches = 0
+        queue_deadline = self._queue_deadline(call)
+        unanswered_searches = 0
         while True:
-            if was_silent and silent_searches < SILENT_SEARCHES:
-                silent_searches += 1
-            elif hold_until - self.now() < self.shedding.pause:
+            if unanswered and unanswered_searches < MAX_UNANSWERED_SEARCHES:
+                unanswered_searches += 1
+            elif queue_deadline - self.now() < self.shedding.pause:
                 return None
             await asyncio.sleep(self.shedding.pause)
-            if not was_silent and not call.state.line.is_first(call.route.priority):
+            if not unanswered and not call.state.wait_queue.is_first(
+                call.route.priority
+            ):
                 continue
-            place, was_silent = await self._search(call)
-            if place is not None:
-                return place
+            selection, unanswered = await self._search(call)
+            if selection is not None:
+                return selection
 
-    def _hold_until(self, call):
+    def _queue_deadline(self, call):
         urgent = call.state.ranks.is_urgent(call.route.priority, self.now())
         return self.shedding.hold_until(call.route, call.admitted_at, urgent)
 
     async def _search(self, call):
-        """Search once; return a place or ``None``, and whether no server answered."""
+        """Search once; return a selection or ``None``, and whether none responded."""
         search = _server_selector.Search(
             call.service,
             call.state,
@@ -157,64 +161,67 @@
             call.deadline,
             heavy=call.route.kind is balancing.RouteKind.DOWNLOAD,
         )
-        place = await self.selector.place(search)
-        if place is not None and self._is_too_slow(call, place):
-            self.selector.pool(place.server).release(place.connection)
-            place = None
-        return place, search.was_silent
+        selection = await self.selector.select(search)
+        if selection is not None and self._is_too_slow(call, selection):
+            self.selector.pool(selection.server).release(selection.connection)
+            selection = None
+        return selection, search.unanswered
 
-    def _is_too_slow(self, call, place):
-        """Return whether a slow server would hardly answer in the time that is left."""
-        if place.server.slowness(self.now()) < balancing.SLOW:
+    def _is_too_slow(self, call, selection):
+        """Return whether a slow server is unlikely to respond in the remaining time."""
+        if selection.server.slowness(self.now()) < balancing.SLOW:
             return False
         usual = call.state.hedging.usual
         left = call.deadline - self.now()
-        return balancing.expected_wait(place.offer, usual) > SLOW_SHARE * left
+        return (
+            balancing.expected_wait(selection.offer, usual)
+            > SLOW_SERVER_TIME_SHARE * left
+        )
 
-    def _still_fits(self, call, place):
-        """Return whether the place is still one, right before the send.
+    def _is_still_valid(self, call, selection):
+        """Return whether the selection is still valid, just before the request is sent.
 
-        While servers were asked, the chosen one may have been drained or evacuated,
-        or a hedge may have gone to it; or its connection has ended, in which case
-        nothing was written and nothing can have run.
+        While servers were probed, the selected one may have been drained or evacuated,
+        or a hedge may have been sent to it. If its connection has ended, nothing was
+        written and nothing can have been executed.
         """
-        server = place.server
+        server = selection.server
         return not (
             server.leaving
             or server.listing.data_centre in self.board.evacuated
             or server.identity in call.tried
-            or not place.connection.reusable
+            or not selection.connection.reusable
         )
 
-    def _rejection_reason(self, call, place, now, hedge):
-        """Return why the request is not to be sent at all, or ""."""
+    def _rejection_reason(self, call, selection, now, hedge):
+        """Return why the request must not be sent, or "" if it may be sent."""
         if call.request.caller_gone:
             return "caller left"
         left = call.deadline - now
-        if left < LEAST_TIME:
+        if left < MIN_REMAINING_TIME:
             return "no time left"
-        if hedge and not place.offer.quiet:
+        if hedge and not selection.offer.quiet:
             return "no quiet server for a hedge"
         usual = call.state.hedging.usual
-        if LEAST_SHARE * balancing.expected_wait(place.offer, usual) > left:
+        if MIN_WAIT_SHARE * balancing.expected_wait(selection.offer, usual) > left:
             return "servers are full"
         return ""
 
-    async def _exchange(self, call, place, now):
-        """Send on a connection that has just answered; read the answer."""
-        server = place.server
+    async def _exchange(self, call, selection, now):
+        """Send on a connection that has just carried a probe; read the response."""
+        server = selection.server
         left = call.deadline - now
         head = self.dialect.request_head(call.request, server, left)
-        connection = place.connection
+        connection = selection.connection
         try:
-            async with asyncio.timeout(left + OVERTIME):
-                answer = await connection.start(
+            async with asyncio.timeout(left + ATTEMPT_GRACE):
+                response = await connection.start(
                     head + bytes(call.request.body),
-                    lambda a: self.dialect.is_response_to(a, call.request_id),
+                    lambda r: self.dialect.is_response_to(r, call.request_id),
                     without_body=call.request.method == b"HEAD",
                 )
-                await _response_relay.buffer_response(
-                    answer, lambda: self._hear(call, answer)
+                await _delivery.buffer_response(
+                    response, lambda: self._observe_progress(call, response)
                 )
         except (_upstream.ExchangeError, TimeoutError) as error:
             connection.abort()
@@ -229,80 +236,83 @@
                 after=round(self.now() - now, 4),
             )
             if reason is _upstream.Failure.RESET:
-                self._checks.start(self._check_crash(call, server), "crash check")
-            return _request_context.AttemptOutcome(
+                self._crash_checks.start(self._check_crash(call, server), "crash check")
+            return _call.AttemptOutcome(
                 Verdict.MAY_HAVE_RUN, server=server, reason=reason.name
             )
-        return self._read_answer(call, place, answer, now)
+        return self._process_response(call, selection, response, now)
 
-    def _hear(self, call, answer):
-        """Note that an answer that can go to the caller is arriving."""
-        good = answer.status < 500 and not self.dialect.is_not_executed(answer)
-        if good and self.dialect.is_authentic(answer):
-            call.quiet_since = self.now()
+    def _observe_progress(self, call, response):
+        """Record progress of a response that can be passed to the caller."""
+        usable = response.status < 500 and not self.dialect.is_not_executed(response)
+        if usable and self.dialect.is_authentic(response):
+            call.last_progress_at = self.now()
 
-    def _read_answer(self, call, place, answer, started):
+    def _process_response(self, call, selection, response, started):
         now = self.now()
-        server = place.server
-        report = self.dialect.parse_load_report(answer, now)
+        server = selection.server
+        report = self.dialect.parse_load_report(response, now)
         if report is not None:
             server.observe_report(report)
-        if self.dialect.is_not_executed(answer):
-            if self.dialect.is_misdirected(answer):
+        if self.dialect.is_not_executed(response):
+            if self.dialect.is_misdirected(response):
                 server.moved = True
             self._observe_failure(server)
-            if not answer.complete:
-                place.connection.abort()
-            return _request_context.AttemptOutcome(
+            if not response.complete:
+                selection.connection.abort()
+            return _call.AttemptOutcome(
                 Verdict.NOT_RUN, server=server, reason="server refused"
             )
-        if not self.dialect.is_authentic(answer):
-            place.connection.abort()
+        if not self.dialect.is_authentic(response):
+            selection.connection.abort()
             self._observe_failure(server)
-            return _request_context.AttemptOutcome(
+            return _call.AttemptOutcome(
                 Verdict.MAY_HAVE_RUN, server=server, reason="not signed"
             )
-        failed = answer.status >= 500
+        failed = response.status >= 500
         self.board.histograms["attempt_seconds"].observe(now - started)
         server.failures.observe(failed, now)
         if not failed:
             call.state.hedging.observe(now - started)
-        connection = None if answer.complete else place.connection
-        reason = f"server answered {answer.status}" if failed else ""
-        return _request_context.AttemptOutcome(
-            Verdict.RAN, answer, server, connection, reason=reason
+        connection = None if response.complete else selection.connection
+        reason = f"server answered {response.status}" if failed else ""
+        return _call.AttemptOutcome(
+            Verdict.RAN, response, server, connection, reason=reason
         )
 
     async def _check_crash(self, call, server):
         if not await self.selector.has_crashed(server):
             return
-        mark = _request_context.request_fingerprint(call.request)
+        fingerprint = _call.request_fingerprint(call.request)
         self.log.event(
             "server-crashed",
             server=server.identity,
             request=call.request_id.decode("latin-1"),
-            fingerprint=mark.hex(),
+            fingerprint=fingerprint.hex(),
         )
-        self.observe_crash(mark)
-        if self.spread_crash is not None:
-            self.spread_crash(mark)
+        self.observe_crash(fingerprint)
+        if self.broadcast_crash is not None:
+            self.broadcast_crash(fingerprint)
+
+    def observe_crash(self, fingerprint):
+        """Count a crash by the request's fingerprint.
 
-    def observe_crash(self, mark):
-        """Count a crash, one's own or another process's, by a request's fingerprint."""
+        The crash was seen by this process or reported by another one.
+        """
         now = self.now()
-        if self.quarantine.observe_crash(self._quarantined, mark, True, now):
-            self.log.event("quarantined", fingerprint=mark.hex())
+        if self.quarantine.observe_crash(self._quarantined, fingerprint, True, now):
+            self.log.event("quarantined", fingerprint=fingerprint.hex())
 
     def _observe_failure(self, server):
         server.failures.observe(True, self.now())
 
 
-def _record(call, place, now):
-    report = place.server.report
-    return _request_context.AttemptRecord(
-        server=place.server.identity,
-        cost=round(place.offer.cost, 2),
-        slowness=round(place.server.slowness(now), 2),
+def _attempt_record(call, selection, now):
+    report = selection.server.report
+    return _call.AttemptRecord(
+        server=selection.server.identity,
+        cost=round(selection.offer.cost, 2),
+        slowness=round(selection.server.slowness(now), 2),
         load=None if report is None else report.running + report.waiting,
         after=round(now - call.request.arrived, 4),
     )
--- a/boragegw/gateway/_server_selector.py
+++ b/boragegw/gateway/_server_selector.py
@@ -1,4 +1,4 @@
-"""Asks backend servers for their load and places a request on one of them."""
+"""Server selection: probes backend servers for their load and picks one of them."""
 
 import asyncio
 import dataclasses
@@ -6,27 +6,30 @@
 from boragegw import balancing
 from boragegw.gateway import _upstream
 
-#: Seconds that a wave may take before the next one is asked as well. A probe takes up
-#: to 6 ms at a backend server and 4 ms on a new connection between data centres.
+#: Seconds until the next wave of probes is sent while a wave is not finished. A probe
+#: takes up to 6 ms at a backend server and 4 ms on a new connection between data
+#: centres.
 WAVE_TIMEOUT = 0.02
-#: Seconds after which a question counts as not answered.
-ANSWER_TIMEOUT = 0.15
-#: Seconds for which a server that cannot be reached is not asked if others can.
+#: Seconds after which a probe counts as failed.
+PROBE_TIMEOUT = 0.15
+#: Seconds for which an unreachable server is not probed if others are reachable.
 UNREACHABLE_PAUSE = 0.4
-#: Seconds for which a server whose health check fails is not asked if others are well.
-UNWELL_PAUSE = 0.7
-#: Seconds after a broken connection at which a crashed server no longer listens.
+#: Seconds for which a server with a failing health check is not probed if others are
+#: healthy.
+UNHEALTHY_PAUSE = 0.7
+#: Seconds between a reset connection and the check for a crash. A crashed server no
+#: longer listens by then.
 CRASH_DELAY = 0.03
-#: Share of a backend server's connections that all processes together may open. The
-#: rest is for processes that are out of sight.
+#: Share of a backend server's connection limit that all known processes together may
+#: use. The rest is reserved for processes that this one cannot see.
 CONNECTION_SHARE = 0.8
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Selection:
-    """A backend server with a connection that has just answered.
+    """A selected backend server, with the connection on which its probe succeeded.
 
-    :param offer: the judged answer.
+    :param offer: the rating of the probe response.
     """
 
     offer: balancing.Offer
@@ -39,25 +42,31 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _ProbeResults:
-    """Places by how good they are: well, cold, and with a failing health check."""
+class _ProbeReplies:
+    """Selections by health of the server.
 
-    well: list = dataclasses.field(default_factory=list)
+    :ivar healthy: of warm servers whose health check passes.
+    :ivar cold: of cold servers whose health check passes.
+    :ivar unhealthy: of servers whose health check fails.
+    """
+
+    healthy: list = dataclasses.field(default_factory=list)
     cold: list = dataclasses.field(default_factory=list)
-    unwell: list = dataclasses.field(default_factory=list)
+    unhealthy: list = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(slots=True)
 class Search:
-    """What is looked for.
+    """Criteria and progress of one search for a backend server.
 
     :param service: :class:`~boragegw.balancing.ServiceSettings`.
     :param state: the service's :class:`ServiceState`.
-    :param tried: identities of servers that are not asked.
-    :param deadline: monotonic seconds.
-    :param heavy: the answer is large, so the own data centre comes first.
-    :param asked: servers that were asked.
-    :param answered: servers that have answered.
+    :param tried: identities of servers to exclude.
+    :param deadline: monotonic seconds after which no further wave of probes is sent.
+    :param heavy: whether a large response is expected, which favours servers in the own
+        data centre.
+    :param probed: number of probes sent.
+    :param responded: number of servers that have responded.
     """
 
     service: object
@@ -65,22 +74,24 @@
     tried: set
     deadline: float
     heavy: bool = False
-    asked: int = 0
-    answered: int = 0
+    probed: int = 0
+    responded: int = 0
 
     @property
-    def was_silent(self):
-        """Whether servers were asked and none answered."""
-        return bool(self.asked and not self.answered)
+    def unanswered(self):
+        """Whether servers were probed and none responded."""
+        return bool(self.probed and not self.responded)
 
 
 class ServerSelector:
-    """Finds a place for a request by asking candidates.
+    """Selects a backend server for a request by probing candidates.
 
     :param board: the :class:`Blackboard`.
     :param dialect: a :class:`Dialect`.
     :param policy: a :class:`~boragegw.balancing.AskingPolicy`.
+    :param warmup: the policy that limits requests to cold servers.
     :param now: function that returns monotonic seconds.
+    :param log: an :class:`EventLog`.
     """
 
     def __init__(self, board, dialect, policy, warmup, *, now, random_state, log):
@@ -93,10 +104,11 @@
         self.log = log
         self._pools = {}
 
-    async def place(self, search):
-        """Return a :class:`Selection`, or ``None`` if no server has room.
+    async def select(self, search):
+        """Return a :class:`Selection`, or ``None`` if no server has free capacity.
 
-        A service that was full a moment ago is asked less: its answers cost it time.
+        A service that had no free capacity a moment ago is probed less, because
+        answering probes costs its servers time.
 
         :param search: a :class:`Search`.
         """
@@ -106,8 +118,8 @@
         candidates = balancing.usable(
             servers, now=now, evacuated=self.board.evacuated, excluded=search.tried
         )
-        replies = _ProbeResults()
-        questions = set()
+        replies = _ProbeReplies()
+        probes = set()
         waves = self.policy.waves(
             candidates,
             allowed=state.probe_budget.left(now, len(servers), self.board.processes),
@@ -120,39 +132,43 @@
         try:
             for wave in waves:
                 state.probe_budget.take(len(wave))
-                search.asked += len(wave)
-                questions |= {self._start(search, server) for server in wave}
-                if await self._collect(questions, replies, WAVE_TIMEOUT):
+                search.probed += len(wave)
+                probes |= {self._start(search, server) for server in wave}
+                if await self._collect(probes, replies, WAVE_TIMEOUT):
                     break
                 if self.now() >= search.deadline:
                     break
-            if not replies.well and questions:
-                await self._collect(questions, replies, ANSWER_TIMEOUT)
-            place = self._choose(search.service, replies, candidates)
-            state.fullness.observe(place is None, self.now())
-            if place is None:
+            if not replies.healthy and probes:
+                await self._collect(probes, replies, PROBE_TIMEOUT)
+            selection = self._choose(search.service, replies, candidates)
+            state.fullness.observe(selection is None, self.now())
+            if selection is None:
                 self.board.counters["searches.full"] += 1
-            return place or await self._place_on_cold(search, servers)
+            return selection or await self._select_cold_server(search, servers)
         finally:
-            for question in questions:
-                question.add_done_callback(self._release_late)
+            for probe in probes:
+                probe.add_done_callback(self._release_late)
             self._release_others(replies)
 
-    async def _place_on_cold(self, search, servers):
-        """Return a place on a cold server within the rate that it bears, or ``None``.
+    async def _select_cold_server(self, search, servers):
+        """Return a selection of a cold server within its warm-up rate, or ``None``.
 
-        Cold servers help while the warm ones are full: after a data centre's return
-        they bear a third of what a burst asks for.
+        Cold servers take requests while the warm ones are full. After the return of a
+        data centre, its cold servers can take a third of a burst.
         """
         now = self.now()
         for server in self._cold_candidates(servers, search.tried, now):
             if not self._may_warm(search.service, server):
                 continue
-            place = await self._ask(search, server)
-            if place is not None and place.offer.room and server.unwell_until <= now:
-                return place
-            if place is not None:
-                self.pool(server).release(place.connection)
+            selection = await self._probe(search, server)
+            if (
+                selection is not None
+                and selection.offer.room
+                and server.unwell_until <= now
+            ):
+                return selection
+            if selection is not None:
+                self.pool(server).release(selection.connection)
         return None
 
     def _cold_candidates(self, servers, tried, now):
@@ -162,58 +178,61 @@
         return candidates
 
     def _start(self, search, server):
-        return asyncio.get_running_loop().create_task(self._ask(search, server))
+        return asyncio.get_running_loop().create_task(self._probe(search, server))
 
-    async def _collect(self, questions, replies, timeout):
-        """Take replies until one is quiet; return whether one is."""
+    async def _collect(self, probes, replies, timeout):
+        """Collect probe results until a lightly loaded server responds.
+
+        Return whether one did before the timeout.
+        """
         end = self.now() + timeout
-        while questions:
+        while probes:
             left = end - self.now()
             if left <= 0:
                 return False
             done, _ = await asyncio.wait(
-                questions, timeout=left, return_when=asyncio.FIRST_COMPLETED
+                probes, timeout=left, return_when=asyncio.FIRST_COMPLETED
             )
-            questions -= done
-            for question in done:
-                self._sort(question.result(), replies)
-            if any(place.offer.quiet for place in replies.well):
+            probes -= done
+            for probe in done:
+                self._classify(probe.result(), replies)
+            if any(selection.offer.quiet for selection in replies.healthy):
                 return True
         return False
 
-    def _sort(self, place, replies):
-        if place is None:
+    def _classify(self, selection, replies):
+        if selection is None:
             return
         now = self.now()
-        server = place.server
+        server = selection.server
         if server.unwell_until > now:
-            replies.unwell.append(place)
+            replies.unhealthy.append(selection)
         elif server.is_cold(now):
-            replies.cold.append(place)
+            replies.cold.append(selection)
         else:
-            replies.well.append(place)
+            replies.healthy.append(selection)
 
     def _choose(self, service, replies, candidates):
-        """Return the best place and remove it from the replies.
+        """Return the best selection and remove it from the replies.
 
-        A server whose health check fails is chosen only where all of them fail: it
-        may be leaving, and then gets nothing any more.
+        A server with a failing health check is chosen only if the health checks of all
+        candidates fail. It may be shutting down and must then get no more requests.
         """
-        roomy = [place for place in replies.well if place.offer.room]
-        if roomy:
-            best = min(roomy, key=lambda place: place.offer.cost)
-            replies.well.remove(best)
+        available = [selection for selection in replies.healthy if selection.offer.room]
+        if available:
+            best = min(available, key=lambda selection: selection.offer.cost)
+            replies.healthy.remove(best)
             return best
-        if replies.well:
+        if replies.healthy:
             return None
-        for place in list(replies.cold):
-            if self._may_warm(service, place.server):
-                replies.cold.remove(place)
-                return place
+        for selection in list(replies.cold):
+            if self._may_warm(service, selection.server):
+                replies.cold.remove(selection)
+                return selection
         now = self.now()
-        if replies.unwell and all(s.unwell_until > now for s in candidates):
-            best = min(replies.unwell, key=lambda place: place.offer.cost)
-            replies.unwell.remove(best)
+        if replies.unhealthy and all(s.unwell_until > now for s in candidates):
+            best = min(replies.unhealthy, key=lambda selection: selection.offer.cost)
+            replies.unhealthy.remove(best)
             return best
         return None
 
@@ -227,15 +246,15 @@
         )
 
     def _release_others(self, replies):
-        for place in (*replies.well, *replies.cold, *replies.unwell):
-            self.pool(place.server).release(place.connection)
+        for selection in (*replies.healthy, *replies.cold, *replies.unhealthy):
+            self.pool(selection.server).release(selection.connection)
 
-    def _release_late(self, question):
-        if question.cancelled():
+    def _release_late(self, probe):
+        if probe.cancelled():
             return
-        place = question.result()
-        if place is not None:
-            self.pool(place.server).release(place.connection)
+        selection = probe.result()
+        if selection is not None:
+            self.pool(selection.server).release(selection.connection)
 
     def _connected(self, servers):
         """Return the identities of the servers to which a connection is idle."""
@@ -246,8 +265,8 @@
             if (pool := pools.get(server.listing.address)) is not None and pool.has_idle
         }
 
-    def welcome(self, server):
-        """Decide whether this process tries a server first that has just joined."""
+    def on_server_joined(self, server):
+        """Decide whether this process is among those that try a new server first."""
         processes = self.board.processes
         server.tried_first = self.policy.introduces(processes, self.random_state)
 
@@ -264,12 +283,13 @@
         share = service.max_connections * CONNECTION_SHARE / self.board.processes
         return max(2, int(share))
 
-    async def _ask(self, search, server):
-        """Ask one server; return a :class:`Selection` or ``None``."""
+    async def _probe(self, search, server):
+        """Probe one server; return a :class:`Selection` or ``None``."""
         service = search.service
         pool = self.pool(server)
         gauge = search.state.pace
-        # Only a new connection tells the pace of a server that reports no load.
+        # If a server reports no load, its slowness shows only in the time that a probe
+        # takes on a new connection.
         fresh = server.report is None and gauge.wants_new_connection(self.random_state)
         try:
             connection = await pool.acquire(self.connection_limit(service), fresh)
@@ -277,19 +297,19 @@
             server.unreachable_until = self.now() + UNREACHABLE_PAUSE
             return None
         self.board.counters["probes.sent"] += 1
-        asked_at = self.now()
+        probed_at = self.now()
         try:
-            async with asyncio.timeout(ANSWER_TIMEOUT):
-                question = self.dialect.health_request(service, server)
-                answer = await connection.start(
-                    question, self.dialect.is_health_response
+            async with asyncio.timeout(PROBE_TIMEOUT):
+                request = self.dialect.health_request(service, server)
+                response = await connection.start(
+                    request, self.dialect.is_health_response
                 )
-                while not answer.complete:
-                    if answer.error is not None:
-                        raise answer.error
-                    await answer.changed()
+                while not response.complete:
+                    if response.error is not None:
+                        raise response.error
+                    await response.changed()
         except (_upstream.ExchangeError, TimeoutError):
-            # Its other idle connections are as old and may be as silent.
+            # Its other idle connections are as old and may be dead as well.
             pool.discard(connection)
             pool.close()
             server.failures.observe(True, self.now())
@@ -297,16 +317,16 @@
         except asyncio.CancelledError:
             pool.discard(connection)
             raise
-        answer.take()
+        response.take()
         if fresh:
-            seconds = self.now() - asked_at - connection.round_trip
+            seconds = self.now() - probed_at - connection.round_trip
             server.observe_slowness(gauge.observe(seconds), self.now())
         if not connection.reusable:
-            # Backend servers end connections now and then with an answer.
+            # Backend servers occasionally close a connection after a response.
             connection = await self._replace(service, server, connection)
             if connection is None:
                 return None
-        return self._judge(search, server, connection, answer)
+        return self._judge(search, server, connection, response)
 
     async def _replace(self, service, server, ended):
         pool = self.pool(server)
@@ -317,10 +337,10 @@
             server.unreachable_until = self.now() + UNREACHABLE_PAUSE
             return None
 
-    def _judge(self, search, server, connection, answer):
+    def _judge(self, search, server, connection, response):
         now = self.now()
-        search.answered += 1
-        health = self.dialect.parse_health(answer, now)
+        search.responded += 1
+        health = self.dialect.parse_health(response, now)
         if health.identity and health.identity != server.identity:
             server.moved = True
             self.log.event(
@@ -333,15 +353,15 @@
         if health.cold_for is not None:
             server.cold_until = now + health.cold_for
         if not health.healthy:
-            server.unwell_until = now + UNWELL_PAUSE
+            server.unwell_until = now + UNHEALTHY_PAUSE
         offer = self.policy.judge(server, now, heavy=search.heavy)
         return Selection(offer, connection)
 
     async def has_crashed(self, server):
-        """Return whether it is proved that nothing listens at the server's address.
+        """Return whether the server provably no longer listens at its address.
 
-        Only a refusal is proof: a connection that takes too long may wait on a full
-        link, while the server is well.
+        Only a refused connection proves it. A connection attempt that times out may be
+        delayed by a saturated link while the server is healthy.
         """
         await asyncio.sleep(CRASH_DELAY)
         try:
@@ -351,7 +371,7 @@
         self.pool(server).discard(connection)
         return False
 
-    def forget(self, addresses):
+    def close_pools(self, addresses):
         """Close the connections to addresses that are no longer listed."""
         for address in addresses:
             pool = self._pools.pop(address, None)
--- a/boragegw/gateway/_socket_options.py
+++ b/boragegw/gateway/_socket_options.py
@@ -1,22 +1,22 @@
-"""Socket options that end connections which something has silently forgotten."""
+"""Socket options that close connections whose peer has silently disappeared."""
 
 import socket
 
-#: Seconds of silence before the first keep-alive probe, between probes, and the
-#: number of probes. A connection that a middlebox has lost is found after 3 s, the
-#: time after which a machine counts as reachable again.
+#: Seconds without data before the first keep-alive probe, seconds between probes, and
+#: number of probes. A connection that a middlebox has dropped is detected after 3 s,
+#: which is also the time after which a machine counts as reachable again.
 KEEPALIVE_IDLE = 1
 KEEPALIVE_INTERVAL = 1
 KEEPALIVE_PROBES = 2
-#: Milliseconds for which sent bytes may stay unacknowledged.
+#: Milliseconds for which sent data may stay unacknowledged.
 USER_TIMEOUT_MS = 2500
 
 
-def detect_silence(transport):
+def enable_keepalive(transport):
     """Set keep-alive probes and a user timeout on a TCP transport.
 
-    Guards against connections that hang for ever: after a partition or a power loss
-    the other end never answers and never closes, and a reader would wait without end.
+    Guards against connections that hang forever. After a network partition or a power
+    failure, the peer neither responds nor closes, and a reader would wait without end.
     """
     sock = transport.get_extra_info("socket")
     if sock is None:
--- a/boragegw/gateway/_upstream.py
+++ b/boragegw/gateway/_upstream.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: one exchange at a time, strict about answers."""
+"""HTTP/1.1 connections to backend servers, with strict response parsing and pooling."""
 
 import asyncio
 import collections
@@ -8,22 +8,22 @@
 
 from boragegw.gateway import _socket_options
 
-#: Bytes of an answer that are held before reading from the backend server pauses.
-ANSWER_BUFFER = 256 * 1024
-#: Bytes of an answer's head that are accepted.
-HEAD_LIMIT = 64 * 1024
+#: Bytes of a response that are buffered before reading from the backend server pauses.
+RESPONSE_BUFFER_BYTES = 256 * 1024
+#: Maximum bytes of a response's head.
+HEAD_LIMIT_BYTES = 64 * 1024
 
 
 class Failure(enum.Enum):
-    """Why an exchange ended without a whole answer."""
+    """Why an exchange ended without a complete response."""
 
     UNREACHABLE = "no connection could be opened"
-    REFUSED = "nothing listens at the address"
-    RESET = "the connection broke off"
-    TRUNCATED = "the answer broke off"
-    MALFORMED = "bytes that are no answer"
+    REFUSED = "connection refused: nothing listens at the address"
+    RESET = "connection closed before a response"
+    TRUNCATED = "response truncated"
+    MALFORMED = "malformed or oversized response"
     TIMEOUT = "no answer in time"
-    STALLED = "the answer stopped arriving"
+    STALLED = "response stalled"
 
 
 class ExchangeError(Exception):
@@ -38,10 +38,13 @@
 
 
 class Response:
-    """One answer while it arrives.
+    """One response, possibly still arriving.
 
     :param status: HTTP status.
     :param headers: pairs of bytes, names in lower case.
+    :ivar body: bytes that have arrived and were not taken yet.
+    :ivar complete: whether the whole response has arrived.
+    :ivar error: the :class:`ExchangeError` that truncated the response, or ``None``.
     """
 
     def __init__(self, status, headers):
@@ -55,18 +58,18 @@
 
     def header(self, name):
         """Return the first value of ``name`` (bytes in lower case), or ``None``."""
-        for known, value in self.headers:
-            if known == name:
+        for header, value in self.headers:
+            if header == name:
                 return value
         return None
 
     def changed(self):
-        """Return a future that ends when more has arrived, or the answer has ended."""
+        """Return a future that completes when data arrives or the response ends."""
         self._changed = asyncio.get_running_loop().create_future()
         return self._changed
 
     def take(self):
-        """Return the bytes that have arrived, and read on."""
+        """Return and remove the buffered bytes; resume reading."""
         chunk = bytes(self.body)
         self.body.clear()
         if self._connection is not None:
@@ -79,24 +82,26 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection to a backend server.
+    """One connection to a backend server, with one exchange at a time.
 
     :param now: function that returns monotonic seconds.
-    :ivar round_trip: seconds that it took to connect.
+    :ivar idle_until: monotonic seconds until which the idle connection may be used.
+    :ivar round_trip: seconds that connecting took.
+    :ivar unusable: whether the connection must not carry another exchange.
     """
 
     def __init__(self, now):
         self.now = now
         self.idle_until = 0.0
         self.round_trip = 0.0
-        self.spoiled = False
+        self.unusable = False
         self.closed = False
         self._transport = None
         self._parser = httptools.HttpResponseParser(self)
         self._accepts = None
-        self._head = None
-        self._answer = None
-        self._foreign = False
+        self._head_future = None
+        self._response = None
+        self._mismatched = False
         self._without_body = False
         self._headers = []
         self._head_bytes = 0
@@ -104,64 +109,63 @@
         self._paused = False
         self._in_message = False
 
-    # Called by the owner.
+    # Interface for the owner.
 
     def start(self, request, accepts, without_body=False):
-        """Send ``request`` and return a future of the :class:`Response`'s head.
+        """Send ``request``; return a future of the :class:`Response` with its head.
 
-        :param accepts: function from an :class:`Response` to whether it belongs to
-            this request. An answer that does not is read and dropped: a backend
-            server may send an answer a second time, late, where the next is due.
-        :param without_body: answers to the request's method have no body.
+        :param accepts: function that takes a :class:`Response` and returns whether it
+            belongs to this request. Other responses are read and discarded. A backend
+            server may send a late duplicate of a response where the next one is due.
+        :param without_body: whether responses to the request's method have no body.
         """
-        self._head = asyncio.get_running_loop().create_future()
+        self._head_future = asyncio.get_running_loop().create_future()
         self._accepts = accepts
-        self._answer = None
+        self._response = None
         self._without_body = without_body
         if self.closed:
-            self._head.set_exception(ExchangeError(Failure.RESET))
+            self._head_future.set_exception(ExchangeError(Failure.RESET))
         else:
             self._transport.write(request)
-        return self._head
+        return self._head_future
 
     def abort(self):
-        """Close at once; the backend server sees that nobody waits any more."""
-        self.spoiled = True
+        """Close at once, so that the backend server can stop its work."""
+        self.unusable = True
         if self._transport is not None and not self.closed:
             self._transport.abort()
 
     def resume(self):
-        """Read on after the buffer was full."""
+        """Resume reading after the buffer was full."""
         if self._paused and not self.closed:
             self._paused = False
             self._transport.resume_reading()
 
     @property
     def reusable(self):
-        """Whether another exchange may use this connection."""
+        """Whether the connection can carry another exchange."""
         return not (
-            self.spoiled
+            self.unusable
             or self.closed
-            or self._head is not None
+            or self._head_future is not None
             or self._transport.is_closing()
             or self._transport.get_write_buffer_size()
         )
 
-    # Called by the transport.
+    # Callbacks of the transport.
 
     def connection_made(self, transport):
-        """Take the transport."""
+        """Store the transport."""
         self._transport = transport
-        _socket_options.detect_silence(transport)
+        _socket_options.enable_keepalive(transport)
 
     def data_received(self, data):
-        """Parse what has arrived."""
-        if self._head is None:
-            # Bytes that nobody asked for: the next request's answer could not be
-            # told from them.
+        """Parse received data."""
+        if self._head_future is None:
+            # Unsolicited data could not be told apart from the next request's response.
             self.abort()
             return
-        if not self._in_message or self._answer is None:
+        if not self._in_message or self._response is None:
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
@@ -169,110 +173,110 @@
             self._fail(Failure.MALFORMED)
             self.abort()
             return
-        if self._head is not None and self._head_bytes > HEAD_LIMIT:
+        if self._head_future is not None and self._head_bytes > HEAD_LIMIT_BYTES:
             self._fail(Failure.MALFORMED)
             self.abort()
 
     def eof_received(self):
-        """Note that the backend server has closed its side."""
+        """Record that the backend server has closed its side."""
         self._ended_by_peer = True
         return False
 
     def connection_lost(self, exc):
-        """End the exchange; an answer without a length ends with its connection."""
+        """End the exchange; a response without a length ends with its connection."""
         self.closed = True
-        answer = self._answer
-        if answer is not None and not answer.complete:
-            unframed = not _is_framed(answer.headers)
-            if unframed and exc is None and self._ended_by_peer and not self.spoiled:
+        response = self._response
+        if response is not None and not response.complete:
+            unframed = not _is_framed(response.headers)
+            if unframed and exc is None and self._ended_by_peer and not self.unusable:
                 self._finish()
                 return
-        self._fail(Failure.RESET if answer is None else Failure.TRUNCATED)
+        self._fail(Failure.RESET if response is None else Failure.TRUNCATED)
 
-    # Called by the parser.
+    # Callbacks of the parser.
 
     def on_message_begin(self):
-        """Start a message; a second one after the answer spoils the connection."""
+        """Start a message; one without a request makes the connection unusable."""
         self._in_message = True
         self._headers = []
-        if self._head is None:
-            self.spoiled = True
+        if self._head_future is None:
+            self.unusable = True
 
     def on_header(self, name, value):
-        """Collect a header."""
+        """Add a header."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self):
-        """Give the head to the waiting request if it belongs to it."""
+        """Pass the head to the waiting request if it belongs to that request."""
         status = self._parser.get_status_code()
-        if self._head is None or status < 200:
+        if self._head_future is None or status < 200:
             return
-        answer = Response(status, self._headers)
-        self._foreign = not self._accepts(answer)
-        if self._foreign:
+        response = Response(status, self._headers)
+        self._mismatched = not self._accepts(response)
+        if self._mismatched:
             return
         self._head_bytes = 0
-        self._answer = answer
-        answer._connection = self
-        self._note_keep_alive(answer)
-        if not self._head.done():
-            self._head.set_result(answer)
+        self._response = response
+        response._connection = self
+        self._update_idle_timeout(response)
+        if not self._head_future.done():
+            self._head_future.set_result(response)
         if self._without_body:
-            # A parser of answers cannot know the request's method; the body that
-            # it waits for never comes, so the connection is not used again.
-            self.spoiled = True
+            # The parser does not know the request's method. It keeps waiting for a body
+            # that never comes, so the connection is not reused.
+            self.unusable = True
             self._finish()
 
     def on_body(self, data):
-        """Collect the body; stop reading while too much is held."""
-        if self._foreign or self._answer is None or self._answer.complete:
+        """Append to the body; pause reading while the buffer is full."""
+        if self._mismatched or self._response is None or self._response.complete:
             return
-        answer = self._answer
-        answer.body += data
-        if len(answer.body) > ANSWER_BUFFER and not self._paused:
+        response = self._response
+        response.body += data
+        if len(response.body) > RESPONSE_BUFFER_BYTES and not self._paused:
             self._paused = True
             self._transport.pause_reading()
-        answer._notify()
+        response._notify()
 
     def on_message_complete(self):
-        """End the exchange if its answer is whole."""
+        """End the exchange if its response is complete."""
         self._in_message = False
-        if self._foreign:
-            self._foreign = False
+        if self._mismatched:
+            self._mismatched = False
             return
-        if self._answer is not None and not self._answer.complete:
+        if self._response is not None and not self._response.complete:
             self._finish()
 
-    def _note_keep_alive(self, answer):
+    def _update_idle_timeout(self, response):
         now = self.now()
-        connection = answer.header(b"connection")
+        connection = response.header(b"connection")
         if connection is not None and b"close" in connection.lower():
-            self.spoiled = True
-        timeout = _keep_alive_seconds(answer.header(b"keep-alive"))
-        self.idle_until = now + (IDLE_DEFAULT if timeout is None else timeout)
+            self.unusable = True
+        timeout = _keep_alive_seconds(response.header(b"keep-alive"))
+        self.idle_until = now + (DEFAULT_IDLE_TIMEOUT if timeout is None else timeout)
 
     def _finish(self):
-        answer = self._answer
-        self._head = None
-        self._answer = None
-        answer.complete = True
-        answer._notify()
+        response = self._response
+        self._head_future = None
+        self._response = None
+        response.complete = True
+        response._notify()
 
     def _fail(self, failure):
         error = ExchangeError(failure)
-        head, self._head = self._head, None
-        answer, self._answer = self._answer, None
-        if head is not None and not head.done():
-            head.set_exception(error)
-        if answer is not None and not answer.complete:
-            answer.error = error
-            answer._notify()
-
-
-#: Seconds for which an idle connection is kept if the backend server does not say.
-IDLE_DEFAULT = 4.0
-#: Seconds before the stated end of an idle connection at which it is left alone: a
-#: request that crosses the close would be lost.
+        future, self._head_future = self._head_future, None
+        response, self._response = self._response, None
+        if future is not None and not future.done():
+            future.set_exception(error)
+        if response is not None and not response.complete:
+            response.error = error
+            response._notify()
+
+
+#: Seconds for which an idle connection is kept if the backend server states no time.
+DEFAULT_IDLE_TIMEOUT = 4.0
+#: Seconds before the stated end of an idle connection after which it is not used. A
+#: request that is sent while the server closes the connection would be lost.
 IDLE_MARGIN = 0.75
 
 
@@ -288,24 +292,24 @@
 
 
 def _is_framed(headers):
-    """Return whether the answer's end can be told without the connection's end."""
+    """Return whether the headers mark the end of the response, by length or chunks."""
     return any(
         name == b"content-length" or (name == b"transfer-encoding" and b"chunked" in v)
         for name, v in headers
     )
 
 
-#: Seconds until an attempt to connect is given up. Connections are made within two
-#: round trips, 4 ms between data centres.
+#: Seconds until an attempt to connect fails. Connecting takes at most two round trips,
+#: which are 4 ms between data centres.
 CONNECT_TIMEOUT = 0.25
 
 
 class ConnectionPool:
-    """Connections to one backend server.
+    """Connection pool of one backend server.
 
     :param address: ``(host, port)``.
     :param now: function that returns monotonic seconds.
-    :param connect_timeout: seconds until an attempt to connect is given up.
+    :param connect_timeout: seconds until an attempt to connect fails.
     """
 
     def __init__(self, address, now, connect_timeout=CONNECT_TIMEOUT):
@@ -317,15 +321,15 @@
 
     @property
     def has_idle(self):
-        """Whether a connection waits for its next request."""
+        """Whether the pool holds an idle connection."""
         return bool(self._idle)
 
     async def acquire(self, limit, fresh=False):
         """Return an idle connection or a new one.
 
-        :param limit: most connections of this process to the server.
-        :param fresh: return a new one; idle ones are closed.
-        :raises ExchangeError: if none can be had; nothing was sent.
+        :param limit: maximum number of connections of this process to the server.
+        :param fresh: whether to close the idle connections and return a new one.
+        :raises ExchangeError: if no connection is available; nothing was sent.
         """
         if fresh:
             self.close()
@@ -340,7 +344,7 @@
         return await self.connect()
 
     def sweep(self):
-        """Close idle connections that have ended or will end before they are used."""
+        """Close idle connections that have ended or are about to expire."""
         now = self.now()
         for connection in list(self._idle):
             if not connection.reusable or connection.idle_until <= now:
@@ -348,7 +352,7 @@
                 self.discard(connection)
 
     async def connect(self):
-        """Return a new connection.
+        """Open a new connection.
 
         :raises ExchangeError: if none can be opened.
         """
@@ -373,14 +377,14 @@
         return connection
 
     def release(self, connection):
-        """Take a connection back after its exchange."""
+        """Return a connection to the pool after its exchange."""
         if connection.reusable:
             self._idle.append(connection)
         else:
             self.discard(connection)
 
     def discard(self, connection):
-        """Close a connection that is not to be used again."""
+        """Close a connection and remove it from the pool."""
         self._open -= 1
         connection.abort()
 
--- a/boragegw/gateway/tests/test_body_memory.py
+++ b/boragegw/gateway/tests/test_body_memory.py
@@ -1,4 +1,4 @@
-"""Room for request bodies: promised at the head, kept, given back."""
+"""Memory for request bodies is reserved at the head and released after the response."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 class Callers:
-    """Connections to a process that holds at most ``limit`` bytes of bodies."""
+    """Connections to a process with a limit of ``limit`` bytes for request bodies."""
 
     def __init__(self, limit):
         self.process = test_caller_connection.Process()
@@ -47,23 +47,27 @@
 )
 @pytest.mark.parametrize("sent", [0, 1, 10])
 @in_memory
-async def test_body_that_cannot_be_held_is_refused_at_its_head(
+async def test_body_over_the_memory_limit_is_refused_at_its_head(
     limit, sizes, refused, sent
 ):
-    """It was taken in part and then dropped: its caller had sent it for nothing."""
+    """The whole body is checked against the limit when its head arrives.
+
+    A body that is accepted in part and then discarded costs its caller the time to send
+    it for nothing.
+    """
     callers = Callers(limit)
-    ends = [callers.connect() for _ in sizes]
-    for (connection, _), size in zip(ends, sizes, strict=True):
+    connections = [callers.connect() for _ in sizes]
+    for (connection, _), size in zip(connections, sizes, strict=True):
         connection.data_received(head(size))
         if size >= sent > 0:
             connection.data_received(b"z" * sent)
-    transports = [transport for _, transport in ends]
+    transports = [transport for _, transport in connections]
     expected = [[503] if n in refused else [] for n in range(len(sizes))]
     assert await callers.statuses(*transports) == expected
     kept = [n for n in range(len(sizes)) if n not in refused]
     for number in kept:
         rest = sizes[number] - (sent if sizes[number] >= sent else 0)
-        ends[number][0].data_received(b"z" * rest)
+        connections[number][0].data_received(b"z" * rest)
     expected = [[503] if n in refused else [200] for n in range(len(sizes))]
     assert await callers.statuses(*transports) == expected
     bodies = sorted(len(body) for _, _, body in callers.process.served)
@@ -72,7 +76,7 @@
 
 
 @in_memory
-async def test_caller_that_waits_to_be_asked_is_not_asked_for_what_cannot_be_held():
+async def test_expect_continue_is_refused_without_memory_for_the_body():
     callers = Callers(limit=100)
     first, _ = callers.connect()
     first.data_received(head(80))
@@ -83,7 +87,7 @@
 
 @pytest.mark.parametrize("sent", [0, 30])
 @in_memory
-async def test_caller_that_leaves_gives_back_what_it_was_promised(sent):
+async def test_disconnected_caller_releases_its_reservation(sent):
     callers = Callers(limit=100)
     first, _ = callers.connect()
     first.data_received(head(80) + b"z" * sent)
@@ -95,7 +99,7 @@
 
 
 @in_memory
-async def test_body_that_comes_too_slowly_gives_back_what_it_was_promised():
+async def test_body_timeout_releases_the_reservation():
     callers = Callers(limit=100)
     first, slow = callers.connect()
     first.data_received(head(80))
@@ -105,10 +109,10 @@
 
 
 @in_memory
-async def test_chunks_take_no_room_that_is_promised_to_others():
-    """A body in chunks does not state its length; it takes what is left."""
+async def test_chunked_body_uses_no_memory_reserved_for_others():
+    """A chunked body states no length, so it uses memory that is not reserved."""
     callers = Callers(limit=100)
-    first, promised = callers.connect()
+    first, reserved = callers.connect()
     first.data_received(head(80))
     second, chunked = callers.connect()
     second.data_received(
@@ -119,12 +123,12 @@
     second.data_received(b"1\r\nz\r\n")
     assert await callers.statuses(chunked) == [[503]]
     first.data_received(b"z" * 80)
-    assert await callers.statuses(promised) == [[200]]
+    assert await callers.statuses(reserved) == [[200]]
     assert callers.used_bytes == 0
 
 
 @in_memory
-async def test_room_is_held_until_the_request_is_answered():
+async def test_memory_is_reserved_until_the_response_is_sent():
     callers = Callers(limit=100)
     callers.process.delay = 1.0
     first, answered = callers.connect()
--- a/boragegw/gateway/tests/test_caller_connection.py
+++ b/boragegw/gateway/tests/test_caller_connection.py
@@ -1,4 +1,4 @@
-"""The callers' side of the wire, in tables: what is accepted, refused and closed."""
+"""Parsing, refusal and timeouts of callers' requests."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class Transport:
-    """Collects what is written."""
+    """Transport that records what is written."""
 
     def __init__(self):
         self.written = b""
@@ -47,7 +47,7 @@
 
 
 class Process:
-    """Stands in for the gateway process: answers with what it was asked."""
+    """Stand-in for the gateway process that records the requests it serves."""
 
     def __init__(self, **limits):
         self.limits = balancing.CallerLimits(**limits)
@@ -132,8 +132,10 @@
 
 @standins.in_memory
 async def test_smuggled_request_is_never_served():
-    """A body that looks like a second request, behind a head with a length and chunks,
-    would run as a request that no caller sent.
+    """Guards against request smuggling.
+
+    With both a length and chunked encoding, the end of the body could be read as a
+    second request that no caller sent.
     """
     process = Process()
     connection, transport = connect(process)
@@ -174,7 +176,7 @@
 
 
 async def refuse_upload(seconds, pause, **limits):
-    """Refuse an upload that goes on for ``seconds``; return its transport."""
+    """Refuse an upload that continues for ``seconds``; return its transport."""
     process = Process(body_bytes=100, **limits)
     connection, transport = connect(process)
     connection.data_received(HEAD + b"content-length: 1000000\r\n\r\n")
@@ -187,8 +189,11 @@
 
 
 @standins.in_memory
-async def test_refused_upload_is_read_while_it_still_comes():
-    """One that went on for 1.5 s was reset 0.5 s after its refusal was written."""
+async def test_refused_upload_is_read_while_it_still_arrives():
+    """Closing too early resets the connection before the refusal is read.
+
+    An upload that went on for 1.5 s was reset 0.5 s after its refusal was written.
+    """
     transport = await refuse_upload(1.5, 0.1)
     assert not transport.closed
     assert statuses(transport) == [413]
@@ -199,7 +204,7 @@
 
 
 @standins.in_memory
-async def test_refused_upload_without_end_is_closed():
+async def test_endless_refused_upload_is_closed_after_the_idle_timeout():
     started = asyncio.get_running_loop().time()
     transport = await refuse_upload(60.0, 0.07, idle_timeout=15.0)
     assert transport.closed
@@ -233,9 +238,11 @@
 
 
 @standins.in_memory
-async def test_bodies_of_all_callers_together_are_bounded():
-    """Many callers send large bodies at once. Without a bound the process would be
-    killed for its memory, and every request in it lost.
+async def test_memory_for_the_bodies_of_all_callers_is_limited():
+    """Many callers send large bodies at once.
+
+    Without a limit, the process would be killed for its memory use, and all its
+    requests would be lost.
     """
     process = Process()
     process.body_memory.limit = 1000
@@ -253,7 +260,7 @@
 
 
 @standins.in_memory
-async def test_caller_that_leaves_midway_leaves_nothing_behind():
+async def test_caller_that_disconnects_midway_releases_everything():
     process = Process()
     connection, _ = connect(process)
     connection.data_received(HEAD + b"content-length: 100\r\n\r\nhalf")
@@ -270,7 +277,7 @@
     bodies=st.lists(st.binary(max_size=30), min_size=1, max_size=5),
     chunked=st.booleans(),
 )
-def test_requests_are_the_same_wherever_the_network_cuts_them(cuts, bodies, chunked):
+def test_parsing_does_not_depend_on_segment_boundaries(cuts, bodies, chunked):
     sent = b"".join(request_bytes(n, b, chunked) for n, b in enumerate(bodies))
     process = standins.run_in_memory(serve_in_pieces(sent, sorted(cuts)))
     assert process.served == [(b"POST", b"/%d" % n, b) for n, b in enumerate(bodies)]
@@ -279,7 +286,7 @@
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=150)
 @hypothesis.given(sent=st.binary(max_size=200), cuts=st.lists(st.integers(0, 200)))
-def test_any_bytes_are_refused_or_served_and_never_break_the_process(sent, cuts):
+def test_arbitrary_bytes_are_refused_or_served_without_an_error(sent, cuts):
     process = standins.run_in_memory(serve_in_pieces(sent, sorted(cuts)))
     assert process.body_memory.used_bytes == 0
 
@@ -307,14 +314,14 @@
 
 
 @standins.in_memory
-async def test_defect_breaks_the_connection_and_is_noted():
-    """An error of the process itself must not leave a caller waiting in silence."""
+async def test_internal_error_closes_the_connection_and_is_logged():
+    """An internal error must not leave a caller waiting for a response."""
     process = Process()
-    noted = []
-    process.log_error = noted.append
+    logged = []
+    process.log_error = logged.append
     process.serve = None
     connection, transport = connect(process)
     connection.data_received(HEAD + b"\r\n")
     await asyncio.sleep(0.1)
     assert transport.aborted
-    assert [type(error) for error in noted] == [TypeError]
+    assert [type(error) for error in logged] == [TypeError]
--- a/boragegw/gateway/tests/test_upstream.py
+++ b/boragegw/gateway/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Answers of backend servers, in a table: whole, broken, foreign, extra."""
+"""Parsing of responses: complete, truncated, mismatched and unsolicited."""
 
 import asyncio
 
@@ -37,7 +37,7 @@
 
 
 async def exchange(pieces, end=None, then=b""):
-    """Return (body or failure, whether the connection is used again)."""
+    """Return the body or the name of the failure, and ``reusable``."""
     loop = asyncio.get_running_loop()
     connection = gateway.UpstreamConnection(loop.time)
     connection.connection_made(Transport())
@@ -91,6 +91,6 @@
         ([b"HTTP/1.1 200 OK\r\nx: " + b"y" * 70_000], None, b"", "MALFORMED", False),
     ],
 )
-def test_answers(pieces, end, then, result, reusable):
+def test_response_parsing(pieces, end, then, result, reusable):
     found = standins.run_in_memory(exchange(pieces, end, then))
     assert found == (result, reusable)
--- a/boragegw/platform/tests/test_delayed_reports.py
+++ b/boragegw/platform/tests/test_delayed_reports.py
@@ -54,7 +54,7 @@
         """End a process without a word."""
         process = self.world.processes.pop(name)
         for task in process._tasks:
-            task.remove_done_callback(process._note_end)
+            task.remove_done_callback(process._on_task_done)
             task.cancel()
         for address in list(self.world.network.listeners):
             if address[0] == name:
--- a/boragegw/platform/tests/test_stalled_answers.py
+++ b/boragegw/platform/tests/test_stalled_answers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from boragegw import gateway, standins
-from boragegw.gateway import _response_relay
+from boragegw.gateway import _delivery
 from boragegw.gateway.tests import test_caller_connection
 
 in_memory = standins.in_memory
@@ -80,7 +80,7 @@
     reply = await asyncio.wait_for(calling, 120.0)
     assert reply.status == 0
     # A pause before the deadline is no reason to end an answer.
-    assert 2.9 <= reply.seconds <= 3.0 + _response_relay.STALL_TIMEOUT
+    assert 2.9 <= reply.seconds <= 3.0 + _delivery.STALL_TIMEOUT
     assert held(installation) == 0
 
 
@@ -92,7 +92,7 @@
     silence(installation)
     reply = await asyncio.wait_for(calling, 120.0)
     assert reply.status == 0
-    assert reply.seconds <= 4.0 + _response_relay.STALL_TIMEOUT + 0.2
+    assert reply.seconds <= 4.0 + _delivery.STALL_TIMEOUT + 0.2
 
 
 @pytest.mark.parametrize(
@@ -131,7 +131,7 @@
     request = gateway.Request(disconnected=loop.create_future())
     writer = writer or Writer()
     delivery = asyncio.create_task(
-        _response_relay.relay_response(
+        _delivery.relay_response(
             request,
             answer,
             writer,
