--- a/boragegw/balancing/_budget.py
+++ b/boragegw/balancing/_budgets.py
@@ -5,7 +5,7 @@
 from boragegw import utils
 
 
-class SlidingCount:
+class SlidingWindowCounter:
     """Events of the last ``window`` seconds, counted in steps of a twentieth."""
 
     STEPS = 20
@@ -62,7 +62,7 @@
         self.burst = burst
         self._bucket = utils.TokenBucket(0.0)
 
-    def left(self, now, servers, processes):
+    def remaining(self, now, servers, processes):
         """Return how many questions may be asked now; at least one.
 
         A request whose place was not asked could meet a connection that has silently
@@ -83,7 +83,7 @@
         self._bucket.tokens = max(0.0, self._bucket.tokens - questions)
 
 
-class RepeatBudget(utils.Parameterized):
+class RetryBudget(utils.Parameterized):
     """Permits second sends of a service's requests.
 
     In any window the whole fleet may repeat ``ratio`` of its requests and ``slack``
@@ -111,14 +111,14 @@
         self.slack = slack
         self.window = window
         self.margin = margin
-        self._requests = SlidingCount(window)
-        self._repeats = SlidingCount(window)
+        self._requests = SlidingWindowCounter(window)
+        self._repeats = SlidingWindowCounter(window)
 
     def observe_request(self, now):
         """Count a request of the service."""
         self._requests.add(now)
 
-    def left(self, now, processes):
+    def remaining(self, now, processes):
         """Return how many repeats are left to this process.
 
         :param processes: processes that may be alive, this one included.
@@ -133,13 +133,13 @@
         :param reserve: share of the budget that must be left untouched, so that
             hedges do not spend what repeats after failures need.
         """
-        left = self.left(now, processes)
+        left = self.remaining(now, processes)
         spent = self._repeats.total(now)
         if left < 1.0 or left - 1.0 < reserve * (left + spent):
             return False
         self._repeats.add(now)
         return True
 
-    def give_back(self):
+    def refund(self):
         """Take back a repeat that was not sent, for want of a place."""
         self._repeats.remove()
--- a/boragegw/balancing/_hedging.py
+++ b/boragegw/balancing/_hedging.py
@@ -5,7 +5,7 @@
 from boragegw import utils
 
 
-class AgeHedgePolicy(utils.Parameterized):
+class LatencyHedgePolicy(utils.Parameterized):
     """Hedges a request that has run longer than most requests of its service do.
 
     :param quantile: share of recent answers that were faster than the delay.
@@ -38,7 +38,7 @@
         self._median = first_delay / 2
 
     @property
-    def usual(self):
+    def median_latency(self):
         """Median seconds of recent answers."""
         return self._median
 
--- a/boragegw/gateway/__init__.py
+++ b/boragegw/gateway/__init__.py
@@ -17,19 +17,9 @@
 from boragegw.gateway._directory import DirectoryPolicy
 from boragegw.gateway._endpoint import Endpoint, EndpointResponse, path_of, query_of
 from boragegw.gateway._event_log import EventLog
-from boragegw.gateway._fetch import Fetched, Fetcher
+from boragegw.gateway._fetch import FetchedResponse, Fetcher
 from boragegw.gateway._follower import Follower
 from boragegw.gateway._forwarder import Forwarder
-from boragegw.gateway._knowledge import (
-    Decoder,
-    HistoryLostError,
-    Progress,
-    Reading,
-    Record,
-    Source,
-    SourceError,
-    Told,
-)
 from boragegw.gateway._membership import Membership
 from boragegw.gateway._metrics import CONTENT_TYPE, COUNTERS, Histogram, render_metrics
 from boragegw.gateway._peer_messages import Life, Member
@@ -37,6 +27,16 @@
 from boragegw.gateway._replication import PeerSource, ReplicaServer
 from boragegw.gateway._sender import Sender
 from boragegw.gateway._server_selector import Selection, ServerSelector
+from boragegw.gateway._sources import (
+    Decoder,
+    HistoryLostError,
+    MissCount,
+    Progress,
+    ReadResult,
+    Record,
+    Source,
+    SourceError,
+)
 from boragegw.gateway._upstream import (
     ConnectionPool,
     ExchangeError,
@@ -65,7 +65,7 @@
     "EventLog",
     "ExchangeError",
     "Failure",
-    "Fetched",
+    "FetchedResponse",
     "Fetcher",
     "Follower",
     "CallerConnection",
@@ -81,7 +81,7 @@
     "PeerSource",
     "ConnectionPool",
     "Progress",
-    "Reading",
+    "ReadResult",
     "Record",
     "ReplicaServer",
     "EndpointResponse",
@@ -90,7 +90,7 @@
     "ServiceState",
     "Source",
     "SourceError",
-    "Told",
+    "MissCount",
     "request_fingerprint",
     "path_of",
     "query_of",
--- a/boragegw/gateway/_call.py
+++ b/boragegw/gateway/_call.py
@@ -97,7 +97,7 @@
 class ServiceState:
     """State that this process keeps for one service.
 
-    :param retry_budget: a :class:`~boragegw.balancing.RepeatBudget`.
+    :param retry_budget: a :class:`~boragegw.balancing.RetryBudget`.
     :param probe_budget: a :class:`~boragegw.balancing.ProbeBudget`.
     :param policies: a :class:`~boragegw.balancing.PolicySettings`.
     """
@@ -106,10 +106,10 @@
         self.retry_budget = retry_budget
         self.probe_budget = probe_budget
         self.hedging = policies.make("hedging")
-        self.fullness = balancing.Fullness()
+        self.saturation = balancing.Saturation()
         self.pace = policies.make("pace")
         self.ranks = policies.make("ranks")
-        self.wait_queue = balancing.WaitingLine()
+        self.wait_queue = balancing.WaitingCounts()
 
 
 def request_fingerprint(request):
--- a/boragegw/gateway/_forwarder.py
+++ b/boragegw/gateway/_forwarder.py
@@ -19,7 +19,7 @@
 HEDGE_PAUSE = 0.1
 #: Share of recent searches without free capacity above which nothing is hedged. A hedge
 #: would take capacity from requests that have none.
-HEDGE_FULLNESS = 0.05
+HEDGE_SATURATION = 0.05
 #: Of the responses that are in time, one in this many is logged. A line costs 12 us of
 #: processor time; logging all of them would cost more than the decisions that they
 #: describe.
@@ -49,7 +49,7 @@
     :param dialect: a :class:`Dialect`.
     :param selector: a :class:`ServerSelector`.
     :param make_retry_budget: function that returns a new
-        :class:`~boragegw.balancing.RepeatBudget`; each service has its own.
+        :class:`~boragegw.balancing.RetryBudget`; each service has its own.
     :param make_probe_budget: function that returns a new
         :class:`~boragegw.balancing.ProbeBudget`; each service has its own.
     :param policies: a :class:`~boragegw.balancing.PolicySettings`.
@@ -154,15 +154,17 @@
 
         The requests of a route with several parts are split by weight.
         """
-        if not route.parts:
+        if not route.weighted_services:
             return None
-        if len(route.parts) == 1:
-            return route.parts[0].service
-        known, turns = self._traffic_splits.get(route.name, (None, None))
-        if known != route.parts:
-            turns = balancing.WeightedTurns(route.parts, self.random_state)
-            self._traffic_splits[route.name] = (route.parts, turns)
-        return turns.next_service()
+        if len(route.weighted_services) == 1:
+            return route.weighted_services[0].service
+        known, round_robin = self._traffic_splits.get(route.name, (None, None))
+        if known != route.weighted_services:
+            round_robin = balancing.WeightedRoundRobin(
+                route.weighted_services, self.random_state
+            )
+            self._traffic_splits[route.name] = (route.weighted_services, round_robin)
+        return round_robin.next_service()
 
     def service_state(self, service_name):
         """Return the :class:`ServiceState` of a service; create it on first use."""
@@ -208,7 +210,7 @@
                     running.discard(attempt)
                     winner = self._handle_outcome(call, attempt.result(), winner)
                     if attempt in hedges and not attempt.result().sent:
-                        state.retry_budget.give_back()
+                        state.retry_budget.refund()
                         hedge_at = self.now() + HEDGE_PAUSE
                 if winner is None and not running and self._may_retry(call, state):
                     self._record_extra_attempt("retried", call, self.now())
@@ -266,13 +268,15 @@
             reason=call.reason,
             sent=call.attempt_records,
             after=round(now - call.request.arrived, 4),
-            budget=round(call.state.retry_budget.left(now, self.board.processes), 1),
+            budget=round(
+                call.state.retry_budget.remaining(now, self.board.processes), 1
+            ),
         )
 
     def _may_hedge(self, call, state, now):
         if call.attempts >= call.route.max_attempts:
             return False
-        if state.fullness.share(now) > HEDGE_FULLNESS:
+        if state.saturation.share(now) > HEDGE_SATURATION:
             return False
         return state.retry_budget.take(now, self.board.processes, HEDGE_BUDGET_RESERVE)
 
@@ -390,7 +394,7 @@
             status=status,
             reason=call.reason or "no answer in time",
             sent=call.attempt_records,
-            full=round(call.state.fullness.share(now), 2),
+            full=round(call.state.saturation.share(now), 2),
             servers=len(self.board.by_service.get(call.service.name, ())),
             after=round(now - call.request.arrived, 4),
             version=self.board.configuration.version,
--- a/boragegw/gateway/_process.py
+++ b/boragegw/gateway/_process.py
@@ -46,7 +46,7 @@
     :param link_mbps: bandwidth of the machine's link in megabits per second.
     :param bootstrap: whether the whole system starts for the first time, without
         callers.
-    :param retry_budget_ratio: see :class:`~boragegw.balancing.RepeatBudget`.
+    :param retry_budget_ratio: see :class:`~boragegw.balancing.RetryBudget`.
     :param retry_budget_window: see there; seconds.
     :param retry_budget_slack: see there; requests.
     :param probe_rate: probes per second to each backend server, of all gateway
@@ -170,7 +170,7 @@
 
     def _make_retry_budget(self):
         settings = self.settings
-        return balancing.RepeatBudget(
+        return balancing.RetryBudget(
             settings.retry_budget_ratio,
             settings.retry_budget_slack,
             settings.retry_budget_window,
--- a/boragegw/gateway/_replication.py
+++ b/boragegw/gateway/_replication.py
@@ -3,13 +3,13 @@
 ``GET /v1/replica/records`` returns all records, ``GET /v1/replica/changes`` with
 ``after``, ``misses``, ``incarnation`` and ``wait_ms`` those that have changed since, as
 soon as there are any. ``GET /v1/replica/retained`` returns those of which the store
-holds an older form. The body is a :class:`Replica` in MessagePack; a large one is
-compressed, and a large record that changes goes as the difference to its last value.
+holds an older form. The body is a :class:`ReplicaResponse` in MessagePack; a large one
+is compressed, and a large record that changes goes as the difference to its last value.
 """
 
 import msgspec
 
-from boragegw.gateway import _compression, _endpoint, _fetch, _knowledge
+from boragegw.gateway import _compression, _endpoint, _fetch, _sources
 
 RECORDS = "/v1/replica/records"
 CHANGES = "/v1/replica/changes"
@@ -25,7 +25,7 @@
 HISTORY_LOST = 410
 
 
-class Change(msgspec.Struct, array_like=True, omit_defaults=True):
+class RecordChange(msgspec.Struct, array_like=True, omit_defaults=True):
     """A record, or what makes it of an earlier one.
 
     :param value: bytes, or ``None`` if the record was deleted.
@@ -41,15 +41,15 @@
     retained: bool = False
 
 
-class Replica(msgspec.Struct, array_like=True):
-    """The body of an answer; ``position`` as in :class:`~boragegw.gateway.Reading`.
+class ReplicaResponse(msgspec.Struct, array_like=True):
+    """The body of an answer; ``position`` as in :class:`~boragegw.gateway.ReadResult`.
 
     :param misses: see :meth:`~boragegw.gateway.Catalogue.changes`.
     :param incarnation: of the process that answers; ``misses`` counts from its start.
-    :param consistent: as in :class:`~boragegw.gateway.Reading`.
+    :param consistent: as in :class:`~boragegw.gateway.ReadResult`.
     """
 
-    changes: list[Change]
+    changes: list[RecordChange]
     position: int
     misses: int = 0
     incarnation: int = 0
@@ -97,7 +97,7 @@
         while True:
             try:
                 reply = self._prepare(after, misses)
-            except _knowledge.HistoryLostError:
+            except _sources.HistoryLostError:
                 return _endpoint.EndpointResponse(HISTORY_LOST)
             left = end - self.now()
             if self.catalogue.revision > after or left < LEAST_WAIT:
@@ -133,7 +133,9 @@
 
     def _reply(self, changes, position=0, consistent=False):
         misses = self.catalogue.misses
-        replica = Replica(list(changes), position, misses, self.incarnation, consistent)
+        replica = ReplicaResponse(
+            list(changes), position, misses, self.incarnation, consistent
+        )
         body = self._encode(replica)
         content_type = b"application/msgpack"
         if len(body) < _compression.LARGE:
@@ -149,12 +151,12 @@
         if base is None or base.revision > after:
             return _whole_change(record)
         difference = _compression.difference(record.value, base.value)
-        return Change(
+        return RecordChange(
             record.key, record.revision, difference, base.revision, record.retained
         )
 
 
-class PeerSource(_knowledge.Source):
+class PeerSource(_sources.Source):
     """Follows another process.
 
     :param address: ``(host, port)`` of its :class:`ReplicaServer`.
@@ -168,7 +170,7 @@
         self.now = now
         self.counters = counters
         self._fetcher = _fetch.Fetcher(address, now, counters, "store.peer_reads")
-        self._decode = msgspec.msgpack.Decoder(Replica).decode
+        self._decode = msgspec.msgpack.Decoder(ReplicaResponse).decode
 
     @property
     def progress(self):
@@ -182,9 +184,9 @@
     async def watch(self, after, wait):
         """Return the changes after the position ``after``."""
         path = f"{CHANGES}?after={after}&wait_ms={int(wait * 1000)}"
-        told = self.catalogue.told(self.address)
-        if told is not None:
-            path += f"&misses={told.misses}&incarnation={told.incarnation}"
+        miss_count = self.catalogue.miss_count(self.address)
+        if miss_count is not None:
+            path += f"&misses={miss_count.misses}&incarnation={miss_count.incarnation}"
         return await self._read(path, wait + ANSWER_TIMEOUT)
 
     async def read_retained(self):
@@ -195,41 +197,45 @@
         """Close the idle connections."""
         self._fetcher.close()
 
-    async def _read(self, path, patience):
-        answer = await self._fetcher.get(path, patience)
+    async def _read(self, path, timeout):
+        answer = await self._fetcher.get(path, timeout)
         if answer.status == HISTORY_LOST:
-            raise _knowledge.HistoryLostError(f"{path}: status {answer.status}")
+            raise _sources.HistoryLostError(f"{path}: status {answer.status}")
         if answer.status != 200:
-            raise _knowledge.SourceError(f"status {answer.status}")
+            raise _sources.SourceError(f"status {answer.status}")
         try:
             replica = self._decode(_whole(answer))
             records = [self._record(change) for change in replica.changes]
         except (msgspec.DecodeError, _compression.CompressionError) as error:
-            raise _knowledge.SourceError(f"unreadable answer: {error}") from error
-        told = _knowledge.Told(self.address, replica.incarnation, replica.misses)
-        return _knowledge.Reading(records, replica.position, replica.consistent, told)
+            raise _sources.SourceError(f"unreadable answer: {error}") from error
+        miss_count = _sources.MissCount(
+            self.address, replica.incarnation, replica.misses
+        )
+        return _sources.ReadResult(
+            records, replica.position, replica.consistent, miss_count
+        )
 
     def _record(self, change):
         if not change.base or change.value is None:
             return _record(change, change.value)
         base = self.catalogue.record(change.key)
         if base is None or base.revision != change.base:
-            raise _knowledge.HistoryLostError(
+            raise _sources.HistoryLostError(
                 f"{change.key} differs from revision {change.base}, which is not known"
             )
         try:
             value = _compression.apply_difference(change.value, base.value, VALUE_LIMIT)
         except _compression.CompressionError as error:
-            raise _knowledge.HistoryLostError(f"{change.key}: {error}") from error
+            raise _sources.HistoryLostError(f"{change.key}: {error}") from error
         return _record(change, value)
 
 
 def _record(change, value):
-    return _knowledge.Record(change.key, value, change.revision, change.retained)
+    return _sources.Record(change.key, value, change.revision, change.retained)
 
 
 def _whole_change(record):
-    return Change(record.key, record.revision, record.value, 0, record.retained)
+    return RecordChange(record.key, record.revision, record.value, 0, record.retained)
 
 
 def _whole(answer):
--- a/boragegw/gateway/_sender.py
+++ b/boragegw/gateway/_sender.py
@@ -101,7 +101,7 @@
             waited = now - call.request.arrived
             self.board.histograms["placing_seconds"].observe(waited)
         server.own_in_flight += 1
-        server.tried_first = False
+        server.preferred_as_new = False
         try:
             outcome = await self._exchange(call, selection, now)
         except asyncio.CancelledError:
@@ -140,7 +140,7 @@
             elif queue_deadline - self.now() < self.shedding.pause:
                 return None
             await asyncio.sleep(self.shedding.pause)
-            if not unanswered and not call.state.wait_queue.is_first(
+            if not unanswered and not call.state.wait_queue.is_most_urgent(
                 call.route.priority
             ):
                 continue
@@ -169,12 +169,12 @@
 
     def _is_too_slow(self, call, selection):
         """Return whether a slow server is unlikely to respond in the remaining time."""
-        if selection.server.slowness(self.now()) < balancing.SLOW:
+        if selection.server.slowness(self.now()) < balancing.SLOWNESS_THRESHOLD:
             return False
-        usual = call.state.hedging.usual
+        usual = call.state.hedging.median_latency
         left = call.deadline - self.now()
         return (
-            balancing.expected_wait(selection.offer, usual)
+            balancing.expected_latency(selection.rating, usual)
             > SLOW_SERVER_TIME_SHARE * left
         )
 
@@ -200,10 +200,10 @@
         left = call.deadline - now
         if left < MIN_REMAINING_TIME:
             return "no time left"
-        if hedge and not selection.offer.quiet:
+        if hedge and not selection.rating.is_acceptable:
             return "no quiet server for a hedge"
-        usual = call.state.hedging.usual
-        if MIN_WAIT_SHARE * balancing.expected_wait(selection.offer, usual) > left:
+        usual = call.state.hedging.median_latency
+        if MIN_WAIT_SHARE * balancing.expected_latency(selection.rating, usual) > left:
             return "servers are full"
         return ""
 
@@ -311,7 +311,7 @@
     report = selection.server.report
     return _call.AttemptRecord(
         server=selection.server.identity,
-        cost=round(selection.offer.cost, 2),
+        cost=round(selection.rating.cost, 2),
         slowness=round(selection.server.slowness(now), 2),
         load=None if report is None else report.running + report.waiting,
         after=round(now - call.request.arrived, 4),
--- a/boragegw/gateway/_server_selector.py
+++ b/boragegw/gateway/_server_selector.py
@@ -29,16 +29,16 @@
 class Selection:
     """A selected backend server, with the connection on which its probe succeeded.
 
-    :param offer: the rating of the probe response.
+    :param rating: score of the server, a :class:`~boragegw.balancing.ScoredServer`.
     """
 
-    offer: balancing.Offer
+    rating: balancing.ScoredServer
     connection: _upstream.UpstreamConnection
 
     @property
     def server(self):
         """The backend server."""
-        return self.offer.server
+        return self.rating.server
 
 
 @dataclasses.dataclass(slots=True)
@@ -88,7 +88,7 @@
 
     :param board: the :class:`Blackboard`.
     :param dialect: a :class:`Dialect`.
-    :param policy: a :class:`~boragegw.balancing.AskingPolicy`.
+    :param policy: a :class:`~boragegw.balancing.ProbingPolicy`.
     :param warmup: the policy that limits requests to cold servers.
     :param now: function that returns monotonic seconds.
     :param log: an :class:`EventLog`.
@@ -115,15 +115,17 @@
         state = search.state
         servers = self.board.by_service.get(search.service.name, ())
         now = self.now()
-        candidates = balancing.usable(
+        candidates = balancing.available_servers(
             servers, now=now, evacuated=self.board.evacuated, excluded=search.tried
         )
         replies = _ProbeReplies()
         probes = set()
         waves = self.policy.waves(
             candidates,
-            allowed=state.probe_budget.left(now, len(servers), self.board.processes),
-            fullness=state.fullness.share(now),
+            allowed=state.probe_budget.remaining(
+                now, len(servers), self.board.processes
+            ),
+            saturation=state.saturation.share(now),
             heavy=search.heavy,
             now=now,
             random_state=self.random_state,
@@ -141,7 +143,7 @@
             if not replies.healthy and probes:
                 await self._collect(probes, replies, PROBE_TIMEOUT)
             selection = self._choose(search.service, replies, candidates)
-            state.fullness.observe(selection is None, self.now())
+            state.saturation.observe(selection is None, self.now())
             if selection is None:
                 self.board.counters["searches.full"] += 1
             return selection or await self._select_cold_server(search, servers)
@@ -163,8 +165,8 @@
             selection = await self._probe(search, server)
             if (
                 selection is not None
-                and selection.offer.room
-                and server.unwell_until <= now
+                and selection.rating.has_capacity
+                and server.unhealthy_until <= now
             ):
                 return selection
             if selection is not None:
@@ -172,7 +174,7 @@
         return None
 
     def _cold_candidates(self, servers, tried, now):
-        allowed = balancing.permitted(servers, self.board.evacuated, tried)
+        allowed = balancing.eligible_servers(servers, self.board.evacuated, tried)
         candidates = [server for server in allowed if server.is_cold(now)]
         self.random_state.shuffle(candidates)
         return candidates
@@ -196,7 +198,7 @@
             probes -= done
             for probe in done:
                 self._classify(probe.result(), replies)
-            if any(selection.offer.quiet for selection in replies.healthy):
+            if any(selection.rating.is_acceptable for selection in replies.healthy):
                 return True
         return False
 
@@ -205,7 +207,7 @@
             return
         now = self.now()
         server = selection.server
-        if server.unwell_until > now:
+        if server.unhealthy_until > now:
             replies.unhealthy.append(selection)
         elif server.is_cold(now):
             replies.cold.append(selection)
@@ -218,9 +220,11 @@
         A server with a failing health check is chosen only if the health checks of all
         candidates fail. It may be shutting down and must then get no more requests.
         """
-        available = [selection for selection in replies.healthy if selection.offer.room]
+        available = [
+            selection for selection in replies.healthy if selection.rating.has_capacity
+        ]
         if available:
-            best = min(available, key=lambda selection: selection.offer.cost)
+            best = min(available, key=lambda selection: selection.rating.cost)
             replies.healthy.remove(best)
             return best
         if replies.healthy:
@@ -230,8 +234,8 @@
                 replies.cold.remove(selection)
                 return selection
         now = self.now()
-        if replies.unhealthy and all(s.unwell_until > now for s in candidates):
-            best = min(replies.unhealthy, key=lambda selection: selection.offer.cost)
+        if replies.unhealthy and all(s.unhealthy_until > now for s in candidates):
+            best = min(replies.unhealthy, key=lambda selection: selection.rating.cost)
             replies.unhealthy.remove(best)
             return best
         return None
@@ -268,7 +272,9 @@
     def on_server_joined(self, server):
         """Decide whether this process is among those that try a new server first."""
         processes = self.board.processes
-        server.tried_first = self.policy.introduces(processes, self.random_state)
+        server.preferred_as_new = self.policy.prefers_new_server(
+            processes, self.random_state
+        )
 
     def pool(self, server):
         """Return the connections to ``server``."""
@@ -353,9 +359,9 @@
         if health.cold_for is not None:
             server.cold_until = now + health.cold_for
         if not health.healthy:
-            server.unwell_until = now + UNHEALTHY_PAUSE
-        offer = self.policy.judge(server, now, heavy=search.heavy)
-        return Selection(offer, connection)
+            server.unhealthy_until = now + UNHEALTHY_PAUSE
+        rating = self.policy.score(server, now, heavy=search.heavy)
+        return Selection(rating, connection)
 
     async def has_crashed(self, server):
         """Return whether the server provably no longer listens at its address.
