--- a/boragegw/gateway/_forwarder.py
+++ b/boragegw/gateway/_forwarder.py
@@ -13,7 +13,7 @@
 #: arrives before the caller gives up.
 DEADLINE_MARGIN = 0.015
 #: Share of the retry budget that hedges must leave to retries after failures.
-HEDGE_BUDGET_RESERVE = 0.35
+HEDGE_RESERVE = 0.35
 #: Seconds until a hedge that found no lightly loaded server is tried again. A short
 #: slowdown or load peak is over by then.
 HEDGE_PAUSE = 0.1
@@ -83,7 +83,7 @@
         self.sender = _sender.Sender(
             board, dialect, selector, self.shedding, now=now, log=log
         )
-        self._service_states = {}
+        self._services = {}
         self._traffic_splits = {}
         self._wait_until = now() + INITIAL_CONFIGURATION_WAIT
 
@@ -168,9 +168,9 @@
 
     def service_state(self, service_name):
         """Return the :class:`ServiceState` of a service; create it on first use."""
-        state = self._service_states.get(service_name)
+        state = self._services.get(service_name)
         if state is None:
-            state = self._service_states[service_name] = _call.ServiceState(
+            state = self._services[service_name] = _call.ServiceState(
                 self.make_retry_budget(), self.make_probe_budget(), self.policies
             )
         return state
@@ -278,7 +278,7 @@
             return False
         if state.saturation.share(now) > HEDGE_SATURATION:
             return False
-        return state.retry_budget.take(now, self.board.processes, HEDGE_BUDGET_RESERVE)
+        return state.retry_budget.take(now, self.board.processes, HEDGE_RESERVE)
 
     def _may_retry(self, call, state):
         """Return whether to retry a failed request; if so, charge the retry budget."""
--- a/boragegw/gateway/_server_selector.py
+++ b/boragegw/gateway/_server_selector.py
@@ -6,9 +6,8 @@
 from boragegw import balancing
 from boragegw.gateway import _upstream
 
-#: Seconds until the next wave of probes is sent while a wave is not finished. A probe
-#: takes up to 6 ms at a backend server and 4 ms on a new connection between data
-#: centres.
+#: Seconds that a wave may take before the next one is sent as well. A probe takes up
+#: to 6 ms at a backend server and 4 ms on a new connection between data centres.
 WAVE_TIMEOUT = 0.02
 #: Seconds after which a probe counts as failed.
 PROBE_TIMEOUT = 0.15
@@ -17,11 +16,10 @@
 #: Seconds for which a server with a failing health check is not probed if others are
 #: healthy.
 UNHEALTHY_PAUSE = 0.7
-#: Seconds between a reset connection and the check for a crash. A crashed server no
-#: longer listens by then.
+#: Seconds after a broken connection at which a crashed server no longer listens.
 CRASH_DELAY = 0.03
-#: Share of a backend server's connection limit that all known processes together may
-#: use. The rest is reserved for processes that this one cannot see.
+#: Share of a backend server's connections that all processes together may open. The
+#: rest is reserved for processes that this one does not see.
 CONNECTION_SHARE = 0.8
 
 
@@ -43,12 +41,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _ProbeReplies:
-    """Selections by health of the server.
-
-    :ivar healthy: of warm servers whose health check passes.
-    :ivar cold: of cold servers whose health check passes.
-    :ivar unhealthy: of servers whose health check fails.
-    """
+    """Selections by server: healthy and warm, healthy and cold, or unhealthy."""
 
     healthy: list = dataclasses.field(default_factory=list)
     cold: list = dataclasses.field(default_factory=list)
@@ -270,7 +263,7 @@
         }
 
     def on_server_joined(self, server):
-        """Decide whether this process is among those that try a new server first."""
+        """Decide whether this process tries a server first that has just joined."""
         processes = self.board.processes
         server.preferred_as_new = self.policy.prefers_new_server(
             processes, self.random_state
@@ -364,10 +357,10 @@
         return Selection(rating, connection)
 
     async def has_crashed(self, server):
-        """Return whether the server provably no longer listens at its address.
+        """Return whether it is proved that nothing listens at the server's address.
 
-        Only a refused connection proves it. A connection attempt that times out may be
-        delayed by a saturated link while the server is healthy.
+        Only a refusal is proof: a connection that takes too long may wait on a full
+        link, while the server is healthy.
         """
         await asyncio.sleep(CRASH_DELAY)
         try:
