--- a/boragegw/gateway/tests/test_upstream.py
+++ b/boragegw/gateway/tests/test_upstream.py
@@ -41,24 +41,26 @@
     loop = asyncio.get_running_loop()
     connection = gateway.UpstreamConnection(loop.time)
     connection.connection_made(Transport())
-    head = connection.start(b"request", lambda answer: answer.header(b"id") == b"a")
+    head_future = connection.start(
+        b"request", lambda response: response.header(b"id") == b"a"
+    )
     for piece in pieces:
         connection.data_received(piece)
     if end is not None:
         if end == "eof":
             connection.eof_received()
         connection.connection_lost(None if end == "eof" else ConnectionResetError())
-    if not head.done():
+    if not head_future.done():
         return None, connection.reusable
     try:
-        answer = head.result()
+        response = head_future.result()
     except gateway.ExchangeError as error:
         return error.failure.name, connection.reusable
     if then:
         connection.data_received(then)
-    if answer.error is not None:
-        return answer.error.failure.name, connection.reusable
-    return (bytes(answer.body) if answer.complete else None), connection.reusable
+    if response.error is not None:
+        return response.error.failure.name, connection.reusable
+    return (bytes(response.body) if response.complete else None), connection.reusable
 
 
 @pytest.mark.parametrize(
