--- a/boragegw/controllers/__init__.py
+++ b/boragegw/controllers/__init__.py
@@ -1,10 +1,10 @@
-"""Tasks and event handlers that read and write the blackboard."""
+"""Controllers: background tasks and event handlers that update the blackboard."""
 
 from boragegw.controllers._configuration import ConfigurationController
 from boragegw.controllers._dispatcher import Dispatcher
 from boragegw.controllers._gossip import GossipController
+from boragegw.controllers._health_observer import HealthObserver
 from boragegw.controllers._membership import MembershipController
-from boragegw.controllers._observer import Observer
 from boragegw.controllers._services import ServicesController
 
 __all__ = [
@@ -12,6 +12,6 @@
     "Dispatcher",
     "GossipController",
     "MembershipController",
-    "Observer",
+    "HealthObserver",
     "ServicesController",
 ]
--- a/boragegw/gateway/_catalogue.py
+++ b/boragegw/gateway/_catalogue.py
@@ -36,7 +36,7 @@
         self._records = {}
         self._previous = {}
         self._retained = {}
-        self._miss_counts = utils.Recent(MAX_MISS_COUNTS)
+        self._miss_counts = utils.BoundedDict(MAX_MISS_COUNTS)
         self._history = _history.ChangeHistory(log)
         self._registry = _server_registry.ServerRegistry(
             board,
--- a/boragegw/standins/_virtual_network.py
+++ b/boragegw/standins/_virtual_network.py
@@ -126,7 +126,7 @@
             raise peers.PeerError(f"{address}: unreachable")
         await asyncio.sleep(self._delay_to(node))
         await self.world.gate(address)
-        content = request.body.held()
+        content = request.body.content()
         forwarded = dataclasses.replace(request, body=messages.Body.from_bytes(content))
         answer = await self._carried(node, address, incarnation, forwarded)
         await self.world.gate(self.address)
@@ -158,7 +158,7 @@
         await asyncio.sleep(0.002)
         if node is None or address in self.world.paused:
             raise peers.PeerError(f"{address}: unreachable")
-        return node.configuration.bundle(known)
+        return node.configuration.build_bundle(known)
 
     async def hand_over(self, address, sealed):
         """Give a sealed table to a peer, through its encoded form."""
--- a/boragegw/utils/_recent.py
+++ b/boragegw/utils/_bounded_dict.py
@@ -1,8 +1,8 @@
 """A dictionary of limited size."""
 
 
-class Recent(dict):
-    """Keeps the entries that were added last.
+class BoundedDict(dict):
+    """A dictionary that evicts its oldest entry above its limit.
 
     :param limit: entries that are kept.
     """
