--- a/boragegw/gateway/__init__.py
+++ b/boragegw/gateway/__init__.py
@@ -1,23 +1,32 @@
-"""The lean gateway process: front, back, peers, knowledge; no platform's names."""
+"""The gateway process: request path, membership and replication of configuration.
 
-from boragegw.gateway._asker import Asker, Place
-from boragegw.gateway._board import Board
-from boragegw.gateway._call import Call, Outcome, ServiceState, fingerprint
-from boragegw.gateway._carrier import Carrier
+The package is independent of the platform. Names of headers, paths and settings are
+defined by a platform adapter, see :class:`Dialect`.
+"""
+
+from boragegw.gateway._blackboard import Blackboard
+from boragegw.gateway._call import (
+    AttemptOutcome,
+    Call,
+    ServiceState,
+    request_fingerprint,
+)
+from boragegw.gateway._caller_connection import BodyMemory, CallerConnection, Request
 from boragegw.gateway._catalogue import Catalogue
-from boragegw.gateway._dialect import Dialect, HealthAnswer
+from boragegw.gateway._dialect import Dialect, HealthResponse
 from boragegw.gateway._directory import DirectoryPolicy
-from boragegw.gateway._endpoint import Endpoint, Reply, path_of, query_of
-from boragegw.gateway._events import EventLog
+from boragegw.gateway._endpoint import Endpoint, EndpointResponse, path_of, query_of
+from boragegw.gateway._event_log import EventLog
 from boragegw.gateway._fetch import FetchedResponse, Fetcher
 from boragegw.gateway._follower import Follower
-from boragegw.gateway._front import BodyMemory, FrontConnection, Request
+from boragegw.gateway._forwarder import Forwarder
 from boragegw.gateway._membership import Membership
-from boragegw.gateway._metrics import CONTENT_TYPE, COUNTERS, Histogram, exposition
+from boragegw.gateway._metrics import CONTENT_TYPE, COUNTERS, Histogram, render_metrics
 from boragegw.gateway._peer_messages import Life, Member
 from boragegw.gateway._process import Gateway, GatewaySettings
 from boragegw.gateway._replication import PeerSource, ReplicaServer
 from boragegw.gateway._sender import Sender
+from boragegw.gateway._server_selector import Selection, ServerSelector
 from boragegw.gateway._sources import (
     Decoder,
     HistoryLostError,
@@ -28,21 +37,27 @@
     Source,
     SourceError,
 )
-from boragegw.gateway._upstream import Answer, Connection, ExchangeError, Failure, Pool
+from boragegw.gateway._upstream import (
+    ConnectionPool,
+    ExchangeError,
+    Failure,
+    Response,
+    UpstreamConnection,
+)
 
 __all__ = [
     "CONTENT_TYPE",
     "COUNTERS",
     "Histogram",
-    "exposition",
-    "Answer",
-    "Asker",
-    "Board",
+    "render_metrics",
+    "Response",
+    "ServerSelector",
+    "Blackboard",
     "BodyMemory",
     "Call",
-    "Carrier",
+    "Forwarder",
     "Catalogue",
-    "Connection",
+    "UpstreamConnection",
     "Decoder",
     "Dialect",
     "DirectoryPolicy",
@@ -53,30 +68,30 @@
     "FetchedResponse",
     "Fetcher",
     "Follower",
-    "FrontConnection",
+    "CallerConnection",
     "Gateway",
     "GatewaySettings",
-    "HealthAnswer",
+    "HealthResponse",
     "HistoryLostError",
     "Life",
     "Member",
     "Membership",
-    "Outcome",
-    "Place",
+    "AttemptOutcome",
+    "Selection",
     "PeerSource",
-    "Pool",
+    "ConnectionPool",
     "Progress",
     "ReadResult",
     "Record",
     "ReplicaServer",
-    "Reply",
+    "EndpointResponse",
     "Request",
     "Sender",
     "ServiceState",
     "Source",
     "SourceError",
     "MissCount",
-    "fingerprint",
+    "request_fingerprint",
     "path_of",
     "query_of",
 ]
--- a/boragegw/gateway/_call.py
+++ b/boragegw/gateway/_call.py
@@ -1,4 +1,4 @@
-"""One request on its way, how its sends end, and what is known of its service."""
+"""State of one request, outcome of an attempt, and state of a service."""
 
 import dataclasses
 import hashlib
@@ -9,12 +9,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendRecord:
-    """Why a request was sent where it was, for the log.
+class AttemptRecord:
+    """Log record of one attempt: the server and the figures behind its selection.
 
-    :param cost: expected time there, in multiples of the usual time.
-    :param slowness: how slowly the server worked, as a multiple of the usual time.
-    :param load: requests that the server held by its report.
+    :param cost: expected time at the server, as a multiple of the usual time.
+    :param slowness: processing time at the server, as a multiple of the usual time.
+    :param load: requests that the server held according to its latest load report.
     :param after: seconds since the request arrived.
     """
 
@@ -27,18 +27,22 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Call:
-    """One request on its way.
+    """State of one request while it is forwarded.
 
     :param state: the service's :class:`ServiceState`.
-    :param admitted_at: monotonic seconds at which it was whole, its turn had come on
-        its connection, and its route was known.
-    :param give_up_at: monotonic seconds at which it gets its final answer.
-    :param tried: identities of the servers that it was sent to.
-    :param sends: times it was sent.
-    :param records: a :class:`SendRecord` of each send.
-    :param may_have_run: a send ended without proof that it did not run.
-    :param quiet_since: monotonic seconds of the first send, or at which bytes of a good
-        answer came last; ``None`` before the first send.
+    :param admitted_at: monotonic seconds at which the request was complete, first in
+        the queue of its connection, and its route was known.
+    :param deadline: monotonic seconds at which the caller gets the final response.
+    :param tried: identities of the servers to which the request was sent.
+    :param attempts: number of times that the request was sent.
+    :param attempt_records: an :class:`AttemptRecord` for each attempt.
+    :param may_have_run: whether an attempt ended without proof that the request was not
+        executed.
+    :param last_progress_at: monotonic seconds of the first attempt or, if later, of the
+        last bytes of a usable response; ``None`` before the first attempt.
+    :param fallback_outcome: the outcome of an attempt with an error response, which is
+        passed on if no other attempt succeeds.
+    :param reason: why the latest attempt failed.
     """
 
     request: object
@@ -47,67 +51,69 @@
     service: balancing.ServiceSettings
     state: object
     admitted_at: float
-    give_up_at: float
+    deadline: float
     tried: set = dataclasses.field(default_factory=set)
-    sends: int = 0
-    records: list = dataclasses.field(default_factory=list)
+    attempts: int = 0
+    attempt_records: list = dataclasses.field(default_factory=list)
     may_have_run: bool = False
-    quiet_since: float | None = None
-    spare_answer: object = None
+    last_progress_at: float | None = None
+    fallback_outcome: object = None
     reason: str = ""
 
     @property
     def idempotent(self):
-        """Whether it may run more than once."""
+        """Whether the request may be executed more than once."""
         return self.route.kind.idempotent
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Outcome:
-    """How one send ended.
-
-    :param verdict: whether the request may have run there.
-    :param answer: the backend server's answer, whole or large enough to pass on.
-    :param connection: still carries the answer if that is not whole.
+class AttemptOutcome:
+    """Outcome of one attempt.
+
+    :param verdict: whether the request may have been executed by the server.
+    :param response: the backend server's response, complete or large enough to be
+        passed on.
+    :param connection: the connection that still carries an incomplete response.
+    :param reason: why the attempt failed, or "".
     """
 
     verdict: Verdict
-    answer: object = None
+    response: object = None
     server: object = None
     connection: object = None
     reason: str = ""
 
     @property
     def sent(self):
-        """Whether it got as far as a backend server."""
+        """Whether the request was sent to a backend server."""
         return self.server is not None
 
     @property
-    def good(self):
-        """Whether the answer can go to the caller as it is, with nothing to gain."""
-        return self.answer is not None and self.answer.status < 500
+    def successful(self):
+        """Whether the response can be passed to the caller without another attempt."""
+        return self.response is not None and self.response.status < 500
 
 
 class ServiceState:
-    """What this process has learned of one service.
+    """State that this process keeps for one service.
 
-    :param budget: a :class:`~boragegw.balancing.RetryBudget`.
-    :param probes: a :class:`~boragegw.balancing.ProbeBudget`.
+    :param retry_budget: a :class:`~boragegw.balancing.RetryBudget`.
+    :param probe_budget: a :class:`~boragegw.balancing.ProbeBudget`.
     :param policies: a :class:`~boragegw.balancing.PolicySettings`.
     """
 
-    def __init__(self, budget, probes, policies):
-        self.budget = budget
-        self.probes = probes
+    def __init__(self, retry_budget, probe_budget, policies):
+        self.retry_budget = retry_budget
+        self.probe_budget = probe_budget
         self.hedging = policies.make("hedging")
-        self.fullness = balancing.Saturation()
+        self.saturation = balancing.Saturation()
         self.pace = policies.make("pace")
         self.ranks = policies.make("ranks")
-        self.line = balancing.WaitingCounts()
+        self.wait_queue = balancing.WaitingCounts()
 
 
-def fingerprint(request):
-    """Return what stays the same when a caller sends a request again."""
+def request_fingerprint(request):
+    """Return a digest that stays the same when a caller sends a request again."""
     digest = hashlib.blake2b(digest_size=16)
     for part in (request.method, request.header(b"host") or b"", request.target):
         digest.update(part + b"\0")
--- a/boragegw/gateway/_follower.py
+++ b/boragegw/gateway/_follower.py
@@ -195,7 +195,7 @@
             response = await self._read_hedged(name, source, lambda s: s.read_all())
         finally:
             self._is_rereading = False
-            self.membership.board.learning = False
+            self.membership.board.loading_snapshot = False
         if response is None:
             return
         name, result = response
@@ -304,7 +304,7 @@
         self._publish_lag(now)
         progress = self._progress()
         if self._is_rereading and self.catalogue.position < 0:
-            self.membership.board.learning = (
+            self.membership.board.loading_snapshot = (
                 self._bytes_received() > self._bytes_at_start
             )
         self._timeout.set_source_ahead(self._is_source_ahead())
--- a/boragegw/gateway/_replication.py
+++ b/boragegw/gateway/_replication.py
@@ -80,7 +80,7 @@
         self._cached_generation = None
 
     async def answer(self, request):
-        """Return the :class:`~boragegw.gateway.Reply` to a request."""
+        """Return the :class:`~boragegw.gateway.EndpointResponse` to a request."""
         path = _endpoint.path_of(request)
         if path == RECORDS:
             return self._records()
@@ -88,11 +88,11 @@
             return await self._changes(_endpoint.query_of(request))
         if path == RETAINED:
             return self._reply(map(_full_change, self.catalogue.retained))
-        return _endpoint.Reply(404)
+        return _endpoint.EndpointResponse(404)
 
     def _records(self):
         if self.catalogue.position < 0:
-            return _endpoint.Reply(503)
+            return _endpoint.EndpointResponse(503)
         return self._cached_reply(None)
 
     async def _changes(self, query):
@@ -103,7 +103,7 @@
             try:
                 reply = self._cached_reply(after, misses)
             except _sources.HistoryLostError:
-                return _endpoint.Reply(HISTORY_LOST_STATUS)
+                return _endpoint.EndpointResponse(HISTORY_LOST_STATUS)
             remaining = end - self.now()
             if self.catalogue.revision > after or remaining < MIN_WAIT_SECONDS:
                 return reply
@@ -144,9 +144,11 @@
         body = self._encode(replica)
         content_type = b"application/msgpack"
         if len(body) < _compression.COMPRESSION_THRESHOLD_BYTES:
-            return _endpoint.Reply(200, body, content_type)
+            return _endpoint.EndpointResponse(200, body, content_type)
         body = _compression.compress(body)
-        return _endpoint.Reply(200, body, content_type, _compression.ENCODING)
+        return _endpoint.EndpointResponse(
+            200, body, content_type, _compression.ENCODING
+        )
 
     def _change(self, record, after):
         """Return the change for a process that knows all changes up to ``after``."""
--- a/boragegw/platform/_dialect.py
+++ b/boragegw/platform/_dialect.py
@@ -41,7 +41,7 @@
         """Return the request ID as bytes, empty if the header is missing."""
         return _header_value(headers, _names.REQUEST_ID) or b""
 
-    def patience(self, headers):
+    def caller_timeout(self, headers):
         """Return the caller's deadline in seconds, or ``None`` if it set none."""
         value = _header_value(headers, _names.DEADLINE_MS)
         return None if value is None else _parse_milliseconds(value)
@@ -62,13 +62,13 @@
             lines.append(b"content-length: %d" % len(request.body))
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
-    def health_question(self, service, server):
+    def health_request(self, service, server):
         """Return the bytes of a health probe to ``server``."""
         host, port = server.listing.address
         head = f"GET {service.health_path} HTTP/1.1\r\nhost: {host}:{port}\r\n\r\n"
         return head.encode()
 
-    def answers_health(self, answer):
+    def is_health_response(self, answer):
         """Return whether ``answer`` is the response to a health probe.
 
         Only responses to requests carry a request ID or a signature.
@@ -78,25 +78,25 @@
             headers, _names.SERVER_SIGNATURE
         ) is None and not _header_value(headers, _names.REQUEST_ID)
 
-    def answers_request(self, answer, request_id):
+    def is_response_to(self, answer, request_id):
         """Return whether ``answer`` is the response to the request ``request_id``."""
         echoed = _header_value(answer.headers, _names.REQUEST_ID)
         if echoed is not None:
             return echoed == request_id
         return not 200 <= answer.status < 300
 
-    def read_health(self, answer, now):
-        """Parse a probe response into a :class:`~boragegw.gateway.HealthAnswer`."""
+    def parse_health(self, answer, now):
+        """Parse a probe response into a :class:`~boragegw.gateway.HealthResponse`."""
         identity = _header_value(answer.headers, _names.INSTANCE_ID)
         warm_up = _header_value(answer.headers, _names.WARM_UP_MS)
-        return gateway.HealthAnswer(
+        return gateway.HealthResponse(
             healthy=answer.status == 200,
             identity="" if identity is None else identity.decode("latin-1"),
-            report=self.read_report(answer, now),
+            report=self.parse_load_report(answer, now),
             cold_for=None if warm_up is None else _parse_milliseconds(warm_up),
         )
 
-    def read_report(self, answer, now):
+    def parse_load_report(self, answer, now):
         """Return the load report of any response, or ``None``."""
         value = _header_value(answer.headers, _names.LOAD_REPORT)
         if value is None:
@@ -111,13 +111,13 @@
             running, waiting, slots, max(0.01, percent / 100.0), now
         )
 
-    def is_not_run(self, answer):
+    def is_not_executed(self, answer):
         """Return whether the backend server reports that it did not execute it."""
         return answer.status == MISDIRECTED_REQUEST or (
             _header_value(answer.headers, _names.NOT_EXECUTED) is not None
         )
 
-    def is_other_server(self, answer):
+    def is_misdirected(self, answer):
         """Return whether another backend server now uses the address."""
         return answer.status == MISDIRECTED_REQUEST
 
@@ -125,7 +125,7 @@
         """Return whether a backend server generated the response."""
         return _header_value(answer.headers, _names.SERVER_SIGNATURE) is not None
 
-    def refusal(self, status, request_id, retry_after=None, close=False):
+    def error_response(self, status, request_id, retry_after=None, close=False):
         """Return the bytes of an error response of this process."""
         text = REASON_PHRASES.get(status, "Error")
         lines = [f"HTTP/1.1 {status} {text}", "content-length: 0"]
--- a/boragegw/platform/_endpoints.py
+++ b/boragegw/platform/_endpoints.py
@@ -10,7 +10,7 @@
 #: that have left: some cache an address for three times the TTL.
 RESOLUTION_TTL_SECONDS = 3.0
 
-NOT_FOUND = gateway.Reply(404)
+NOT_FOUND = gateway.EndpointResponse(404)
 
 
 class Resolution(msgspec.Struct):
@@ -48,7 +48,7 @@
         """Return status 200 while requests are accepted, otherwise 503."""
         if gateway.path_of(request) != "/v1/ready":
             return NOT_FOUND
-        return gateway.Reply(200 if self.process.board.ready else 503)
+        return gateway.EndpointResponse(200 if self.process.board.ready else 503)
 
     async def resolve(self, request):
         """Return the gateway addresses that a caller should use."""
@@ -57,9 +57,9 @@
         data_centre = gateway.query_of(request).get("zone", "")
         addresses = self.process.entries_for(data_centre)
         if not addresses:
-            return gateway.Reply(503)
+            return gateway.EndpointResponse(503)
         body = msgspec.json.encode(Resolution(addresses, self.ttl))
-        return gateway.Reply(200, body)
+        return gateway.EndpointResponse(200, body)
 
     async def status(self, request):
         """Return the state and counters of this process."""
@@ -68,8 +68,8 @@
         process = self.process
         configuration = process.board.configuration
         status = Status(
-            process=process.own.name,
-            life=process.own.life.name.lower(),
+            process=process.local_member.name,
+            life=process.local_member.life.name.lower(),
             version=None if configuration is None else configuration.version,
             position=process.catalogue.position,
             peers=sorted(m.name for m in process.membership.alive()),
@@ -77,7 +77,7 @@
             servers=len(process.board.servers),
             counters=dict(process.board.counters),
         )
-        return gateway.Reply(200, msgspec.json.encode(status))
+        return gateway.EndpointResponse(200, msgspec.json.encode(status))
 
     async def metrics(self, request):
         """Return counters, gauges and latency histograms for scrapers."""
@@ -97,5 +97,5 @@
             "store_lag": process.follower.lag,
             "connections": len(process.connections),
         }
-        text = gateway.exposition(board.counters, gauges, board.histograms)
-        return gateway.Reply(200, text, gateway.CONTENT_TYPE)
+        text = gateway.render_metrics(board.counters, gauges, board.histograms)
+        return gateway.EndpointResponse(200, text, gateway.CONTENT_TYPE)
--- a/boragegw/platform/_process.py
+++ b/boragegw/platform/_process.py
@@ -21,7 +21,7 @@
     :param log: an :class:`~boragegw.gateway.EventLog`.
     :param now: function that returns monotonic seconds.
     """
-    board = gateway.Board()
+    board = gateway.Blackboard()
     return gateway.Gateway(
         settings.gateway,
         _dialect.PlatformDialect(),
@@ -40,7 +40,7 @@
     handlers = [
         (endpoints.ready, settings.ready),
         (endpoints.resolve, settings.directory),
-        (process.replicas.answer, settings.gateway.peer),
+        (process.replicas.answer, settings.gateway.peer_address),
     ]
     if settings.control is not None:
         handlers.append((endpoints.status, settings.control))
@@ -91,7 +91,7 @@
         if self.front_fd is None:
             return None
         listener = socket.socket(fileno=self.front_fd)
-        if listener.getsockname() == self._settings.gateway.front:
+        if listener.getsockname() == self._settings.gateway.caller_address:
             return listener
         listener.close()
         return None
@@ -106,7 +106,7 @@
             self.gateway.log.event("settings-invalid", detail=error.detail)
             return
         self.gateway.log.event("settings-read")
-        self.gateway.use_seeds(reloaded.gateway.seeds)
+        self.gateway.update_seeds(reloaded.gateway.seeds)
 
     async def _watch_settings(self):
         while True:
--- a/boragegw/platform/tests/test_delayed_reports.py
+++ b/boragegw/platform/tests/test_delayed_reports.py
@@ -54,7 +54,7 @@
         """Kill a process without a graceful stop."""
         process = self.world.processes.pop(name)
         for task in process._tasks:
-            task.remove_done_callback(process._note_end)
+            task.remove_done_callback(process._on_task_done)
             task.cancel()
         for address in list(self.world.network.listeners):
             if address[0] == name:
@@ -147,7 +147,7 @@
     await installation.add_gateway("gw-10")
     assert set(installation.draining().values()) == {False}
     for process in installation.world.processes.values():
-        assert process.own.retained == 0
+        assert process.local_member.retained == 0
 
 
 @in_memory
--- a/boragegw/platform/tests/test_paged_reads.py
+++ b/boragegw/platform/tests/test_paged_reads.py
@@ -27,7 +27,7 @@
         await installation.add_gateway(f"gw-{number}")
     await asyncio.sleep(5.0)
     processes = installation.processes.values()
-    (root,) = [p for p in processes if p.own.watches_store]
+    (root,) = [p for p in processes if p.local_member.watches_store]
     missed = []
     for process in processes:
         event = process.log.event
--- a/boragegw/platform/tests/test_requests.py
+++ b/boragegw/platform/tests/test_requests.py
@@ -288,7 +288,9 @@
     installation = await start_installation(backends=4, kind="unsafe")
     installation.backends["i-0"].faults.healthy = False
     process = installation.processes["gw-0"]
-    process.carrier.state("app").probes = balancing.ProbeBudget(rate=0.0)
+    process.forwarder.service_state("app").probe_budget = balancing.ProbeBudget(
+        rate=0.0
+    )
     for number in range(40):
         await installation.call(f"/{number}", "POST", b"1")
         await asyncio.sleep(0.05)
--- a/boragegw/platform/tests/test_stalled_answers.py
+++ b/boragegw/platform/tests/test_stalled_answers.py
@@ -6,7 +6,7 @@
 
 from boragegw import gateway, standins
 from boragegw.gateway import _delivery
-from boragegw.gateway.tests import test_front
+from boragegw.gateway.tests import test_caller_connection
 
 in_memory = standins.in_memory
 
@@ -44,7 +44,7 @@
 
 def connections_in_use(installation):
     """Return the number of connections to backend servers held by requests."""
-    pools = installation.processes["gw-0"].asker._pools.values()
+    pools = installation.processes["gw-0"].selector._pools.values()
     return sum(pool._open - len(pool._idle) for pool in pools)
 
 
@@ -82,7 +82,7 @@
     reply = await asyncio.wait_for(calling, 120.0)
     assert reply.status == 0
     # A pause before the deadline must not end the response.
-    assert 2.9 <= reply.seconds <= 3.0 + _delivery.STALL
+    assert 2.9 <= reply.seconds <= 3.0 + _delivery.STALL_TIMEOUT
     assert connections_in_use(installation) == 0
 
 
@@ -94,7 +94,7 @@
     silence(installation)
     reply = await asyncio.wait_for(calling, 120.0)
     assert reply.status == 0
-    assert reply.seconds <= 4.0 + _delivery.STALL + 0.2
+    assert reply.seconds <= 4.0 + _delivery.STALL_TIMEOUT + 0.2
 
 
 @pytest.mark.parametrize(
@@ -121,7 +121,7 @@
     def write(self, data):
         self.written += data
 
-    async def writable(self):
+    async def drain(self):
         if not self.reads:
             await asyncio.sleep(10.0)
 
@@ -129,16 +129,16 @@
 async def deliver_parts(pauses, deadline_seconds, writer=None):
     """Deliver a response in parts after pauses in seconds; return what was written."""
     loop = asyncio.get_running_loop()
-    answer = gateway.Answer(200, [])
-    request = gateway.Request(left=loop.create_future())
+    answer = gateway.Response(200, [])
+    request = gateway.Request(disconnected=loop.create_future())
     writer = writer or CallerWriter()
     delivery = asyncio.create_task(
-        _delivery.deliver(
+        _delivery.relay_response(
             request,
             answer,
             writer,
             closing=False,
-            give_up_at=loop.time() + deadline_seconds,
+            deadline=loop.time() + deadline_seconds,
         )
     )
     for pause in pauses:
@@ -170,9 +170,9 @@
 @in_memory
 async def test_disconnect_of_a_caller_that_does_not_read_is_detected(leaving):
     """A blocked write was not woken until the connection was lost."""
-    connection, _ = test_front.connect(test_front.Process())
+    connection, _ = test_caller_connection.connect(test_caller_connection.Process())
     connection.pause_writing()
-    writing = asyncio.create_task(connection.writable())
+    writing = asyncio.create_task(connection.drain())
     await asyncio.sleep(0.1)
     assert not writing.done()
     getattr(connection, leaving)(*([None] if leaving == "connection_lost" else []))
--- a/boragegw/platform/tests/test_time_limits.py
+++ b/boragegw/platform/tests/test_time_limits.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from boragegw import gateway, standins
-from boragegw.gateway.tests import test_front
+from boragegw.gateway.tests import test_caller_connection
 
 in_memory = standins.in_memory
 FRONT_ADDRESS = ("gw-0", 8548)
@@ -13,7 +13,7 @@
 
 async def upload(installation, body, seconds, deadline_ms):
     """Send a request whose body takes ``seconds``; return the response status."""
-    client = gateway.Connection(installation.loop.time)
+    client = gateway.UpstreamConnection(installation.loop.time)
     await installation.loop.create_connection(lambda: client, *FRONT_ADDRESS)
     headers = {"x-request-id": "slow", "x-deadline-ms": str(deadline_ms)}
     raw_request = standins.request_bytes("/up", "POST", body, headers)
@@ -121,18 +121,18 @@
 @in_memory
 async def test_body_without_memory_is_refused_before_it_is_sent():
     """Otherwise it is received in part and dropped when the body memory is full."""
-    process = test_front.Process()
+    process = test_caller_connection.Process()
     process.body_memory = gateway.BodyMemory(limit=100)
-    head = test_front.HEAD + b"content-length: 80\r\n\r\n"
-    first_connection, first_transport = test_front.connect(process)
-    second_connection, second_transport = test_front.connect(process)
+    head = test_caller_connection.HEAD + b"content-length: 80\r\n\r\n"
+    first_connection, first_transport = test_caller_connection.connect(process)
+    second_connection, second_transport = test_caller_connection.connect(process)
     first_connection.data_received(head + b"z" * 10)
     second_connection.data_received(head)
     await asyncio.sleep(0.01)
-    assert test_front.statuses(second_transport) == [503]
+    assert test_caller_connection.statuses(second_transport) == [503]
     first_connection.data_received(b"z" * 70)
     await asyncio.sleep(0.01)
-    assert test_front.statuses(first_transport) == [200]
+    assert test_caller_connection.statuses(first_transport) == [200]
 
 
 @in_memory
@@ -156,7 +156,7 @@
     await call
     await asyncio.sleep(20.0)
     serving = [
-        task for task in asyncio.all_tasks() if "FrontConnection._serve" in repr(task)
+        task for task in asyncio.all_tasks() if "CallerConnection._serve" in repr(task)
     ]
     assert not serving
     assert not process.connections
