--- a/boragegw/platform/tests/test_delayed_reports.py
+++ b/boragegw/platform/tests/test_delayed_reports.py
@@ -42,7 +42,7 @@
         """Delete the entry and wait for ``seconds``."""
         if after_store_failure:
             for process in self.world.processes.values():
-                process.catalogue.trouble_at = self.world.loop.time()
+                process.catalogue.store_trouble_at = self.world.loop.time()
         self.world.store.delete(KEY)
         await asyncio.sleep(seconds)
 
@@ -186,14 +186,14 @@
 def test_retained_draining_report_of_a_missing_server_is_adopted(after_store_failure):
     """The older report replaced the one retained while the entry was missing."""
     source = test_catalogue.catalogue(
-        _documents.DocumentDecoder(test_catalogue.Lines())
+        _documents.DocumentDecoder(test_catalogue.EventRecorder())
     )
-    source.adopt_snapshot(gateway.ReadResult([server_record(7, "ready", 1)], 1))
+    source.apply_snapshot(gateway.ReadResult([server_record(7, "ready", 1)], 1))
     if after_store_failure:
-        source.trouble_at = source.now()
-    source.adopt_changes(gateway.ReadResult([gateway.Record(KEY, None, 2)], 2))
+        source.store_trouble_at = source.now()
+    source.apply_changes(gateway.ReadResult([gateway.Record(KEY, None, 2)], 2))
     assert (KEY in source.board.servers) == after_store_failure
-    assert source.adopt_retained([server_record(9, "draining", 3, retained=True)]) == 1
-    source.adopt_changes(gateway.ReadResult([server_record(8, "ready", 3)], 3))
+    assert source.apply_retained([server_record(9, "draining", 3, retained=True)]) == 1
+    source.apply_changes(gateway.ReadResult([server_record(8, "ready", 3)], 3))
     assert source.board.servers[KEY].listing.draining
     assert [r.retained for r in source.snapshot().records] == [True]
--- a/boragegw/platform/tests/test_documents.py
+++ b/boragegw/platform/tests/test_documents.py
@@ -67,7 +67,7 @@
     decoder = _documents.DocumentDecoder(recorder)
     value = json.dumps(document).encode()
     record = gateway.Record("op/config", value, 1)
-    return decoder.configuration(record), recorder.kinds
+    return decoder.decode_configuration(record), recorder.kinds
 
 
 def route_of(configuration, number):
