--- a/boragegw/backends/__init__.py
+++ b/boragegw/backends/__init__.py
@@ -3,7 +3,7 @@
 from boragegw.backends._base import (
     Attempt,
     AttemptError,
-    BackendAnswer,
+    BackendResponse,
     BackendTransport,
     Failure,
 )
@@ -14,7 +14,7 @@
 __all__ = [
     "Attempt",
     "AttemptError",
-    "BackendAnswer",
+    "BackendResponse",
     "BackendTransport",
     "ConnectionPool",
     "Failure",
--- a/boragegw/backends/_base.py
+++ b/boragegw/backends/_base.py
@@ -51,7 +51,7 @@
     :param content: the whole body as bytes, or ``None`` if ``stream`` gives it.
     :param stream: async iterator of bytes, or ``None``.
     :param deadline: monotonic seconds by which the answer must begin.
-    :param fresh: use a new connection.
+    :param new_connection: whether to open a new connection instead of an idle one.
     """
 
     attempt_id: str
@@ -63,11 +63,11 @@
     stream: object
     deadline: float
     idempotent: bool
-    fresh: bool = False
+    new_connection: bool = False
 
 
 @dataclasses.dataclass(slots=True)
-class BackendAnswer:
+class BackendResponse:
     """The head of a backend server's answer and its body to come.
 
     :param body: async iterator; raises ``TruncatedResponseError`` if it breaks off.
@@ -89,7 +89,7 @@
 
     @abc.abstractmethod
     async def send(self, attempt):
-        """Send ``attempt`` and return its :class:`BackendAnswer`.
+        """Send ``attempt`` and return its :class:`BackendResponse`.
 
         :raises AttemptError: with the verdict.
         """
@@ -101,10 +101,10 @@
         :raises AttemptError: if none comes within ``timeout`` seconds.
         """
 
-    def set_sharers(self, count):  # noqa: B027 - optional
+    def set_entry_count(self, count):  # noqa: B027 - optional
         """Tell by how many entries a backend server's connections are shared."""
 
-    def discard(self, vm, opened_before=None):  # noqa: B027 - optional
+    def close_idle_connections(self, vm, opened_before=None):  # noqa: B027 - optional
         """Drop the idle connections to ``vm`` opened before a time (all: ``None``)."""
 
     async def aclose(self):  # noqa: B027 - optional
--- a/boragegw/backends/_http.py
+++ b/boragegw/backends/_http.py
@@ -107,15 +107,15 @@
         pool.limit = max(1, vm.connections // self._sharers)
         return pool
 
-    def set_sharers(self, count):
+    def set_entry_count(self, count):
         """Divide each backend server's connections among ``count`` entries."""
         self._sharers = max(1, count)
 
-    def discard(self, vm, opened_before=None):
+    def close_idle_connections(self, vm, opened_before=None):
         """Drop idle connections to ``vm``."""
         pool = self._pools.get(vm.address)
         if pool is not None:
-            pool.discard(opened_before)
+            pool.close_idle_connections(opened_before)
 
     async def send(self, attempt):
         """Send ``attempt`` and return the answer once its head has arrived."""
@@ -125,7 +125,7 @@
         # again goes on one that was proved alive a moment ago, or on a new one, which
         # costs about a millisecond.
         idle_limit = None if attempt.idempotent else NON_IDEMPOTENT_IDLE_LIMIT
-        connection = await pool.acquire(now, attempt.fresh, idle_limit)
+        connection = await pool.acquire(now, attempt.new_connection, idle_limit)
         writes = connection.stream.writes
         try:
             response = await self._exchange(connection, attempt)
@@ -212,7 +212,7 @@
                 _seconds(messages.find_header(headers, b"retry-after")),
             )
         kept = list(messages.end_to_end_headers(headers))
-        return _base.BackendAnswer(response.status, kept, body, report)
+        return _base.BackendResponse(response.status, kept, body, report)
 
     async def probe(self, vm, timeout):
         """Ask for a load report over a new connection."""
@@ -227,7 +227,7 @@
             stream=None,
             deadline=now + timeout,
             idempotent=True,
-            fresh=True,
+            new_connection=True,
         )
         answer = await self.send(attempt)
         async for _ in answer.body:
@@ -243,4 +243,4 @@
     async def aclose(self):
         """Close all idle connections."""
         for pool in self._pools.values():
-            pool.discard()
+            pool.close_idle_connections()
--- a/boragegw/backends/_pool.py
+++ b/boragegw/backends/_pool.py
@@ -48,16 +48,16 @@
         """Return whether a connection waits for use."""
         return bool(self._idle)
 
-    async def acquire(self, now, fresh=False, idle_limit=None):
+    async def acquire(self, now, new_connection=False, idle_limit=None):
         """Return a connection on which no byte of the request was written yet.
 
-        :param fresh: open a new one.
+        :param new_connection: whether to open one instead of an idle one.
         :param idle_limit: seconds; shorter than the pool's for requests that cannot
             be sent again if the connection has gone silent.
         :raises AttemptError: with the verdict not-run.
         """
         limit = self.idle_limit if idle_limit is None else idle_limit
-        while self._idle and not fresh:
+        while self._idle and not new_connection:
             connection = self._idle.pop()
             if connection.http.has_expired():
                 self._raise_closed(connection)
@@ -83,7 +83,7 @@
         connection is the first sign, and the caller looks into it before it sends.
         """
         self._drop(connection)
-        self.discard()
+        self.close_idle_connections()
         raise _base.AttemptError(
             _base.Failure.CLOSED,
             errors.Verdict.NOT_RUN,
@@ -126,7 +126,7 @@
         """Close a connection in the middle of an exchange."""
         self._drop(connection)
 
-    def discard(self, opened_before=None):
+    def close_idle_connections(self, opened_before=None):
         """Close idle connections opened before a time; all for ``None``."""
         kept = []
         for connection in self._idle:
--- a/boragegw/backends/tests/test_transport_contract.py
+++ b/boragegw/backends/tests/test_transport_contract.py
@@ -220,7 +220,7 @@
 
 def test_limit_is_shared_among_the_entries():
     async def scenario(transport, server):
-        transport.set_sharers(2)
+        transport.set_entry_count(2)
         await exchange(transport, server)
         return transport._pool(server.vm).limit
 
@@ -230,7 +230,7 @@
 def test_discarded_connections_are_replaced():
     async def scenario(transport, server):
         await exchange(transport, server)
-        transport.discard(server.vm)
+        transport.close_idle_connections(server.vm)
         await exchange(transport, server)
         return server.connections
 
--- a/boragegw/controllers/_health_observer.py
+++ b/boragegw/controllers/_health_observer.py
@@ -143,7 +143,7 @@
         except backends.AttemptError:
             self.board.counters["probes.failed"] += 1
             return False
-        self.transport.discard(backend.vm, opened_before=started)
+        self.transport.close_idle_connections(backend.vm, opened_before=started)
         self.record_report(service, backend, report)
         backend.failures = 0
         return True
--- a/boragegw/entry/_executor.py
+++ b/boragegw/entry/_executor.py
@@ -283,7 +283,7 @@
             stream=None if complete else request.body.chunks(),
             deadline=request.deadline,
             idempotent=call.idempotent,
-            fresh=fresh,
+            new_connection=fresh,
         )
 
     def _accept(self, call, backend, attempt_id, note, answer):
--- a/boragegw/server/_node.py
+++ b/boragegw/server/_node.py
@@ -232,7 +232,7 @@
 
     def _configuration_changed(self):
         self.services.refresh()
-        self.transport.set_sharers(sum(1 for _ in self.board.fleet.entries()))
+        self.transport.set_entry_count(sum(1 for _ in self.board.fleet.entries()))
         self.membership.broadcast_heartbeat()
 
     @property
--- a/boragegw/standins/_virtual_transport.py
+++ b/boragegw/standins/_virtual_transport.py
@@ -34,7 +34,7 @@
         """Make the open connections to a backend server go silent for good."""
         self._silenced.add(name)
 
-    def discard(self, vm, opened_before=None):
+    def close_idle_connections(self, vm, opened_before=None):
         """Drop the connections to ``vm``."""
         self._connected.pop(vm.name, None)
         self._silenced.discard(vm.name)
@@ -59,14 +59,14 @@
         idle = server.loop_time() - used_at
         if connected and not attempt.idempotent and idle > NON_IDEMPOTENT_IDLE_LIMIT:
             connected, known = False, None
-        if known is not None and not connected and not attempt.fresh:
+        if known is not None and not connected and not attempt.new_connection:
             del self._connected[server.name]
             raise backends.AttemptError(
                 backends.Failure.CLOSED,
                 errors.Verdict.NOT_RUN,
                 f"{server.name}: closed an idle connection",
             )
-        if attempt.fresh or not connected:
+        if attempt.new_connection or not connected:
             await asyncio.sleep(NEW_CONNECTION + 2 * self.delay(server.vm))
             if server.faults.down or not self.reachable(server.vm):
                 raise backends.AttemptError(
@@ -151,7 +151,7 @@
         headers = [(b"content-length", str(len(content)).encode())]
         body = _parts(content, truncated)
         report = server.report(server.loop_time())
-        return backends.BackendAnswer(status, headers, body, report)
+        return backends.BackendResponse(status, headers, body, report)
 
     async def probe(self, vm, timeout):
         """Ask for a load report."""
