--- a/boragegw/peers/__init__.py
+++ b/boragegw/peers/__init__.py
@@ -17,7 +17,7 @@
     Quarantine,
     Temperature,
 )
-from boragegw.peers._tables import decode_sealed, encode_sealed
+from boragegw.peers._tables import decode_sealed_table, encode_sealed_table
 from boragegw.peers._udp import UdpEndpoint
 
 __all__ = [
@@ -38,6 +38,6 @@
     "RequestSigner",
     "Temperature",
     "UdpEndpoint",
-    "decode_sealed",
-    "encode_sealed",
+    "decode_sealed_table",
+    "encode_sealed_table",
 ]
--- a/boragegw/peers/_authenticity.py
+++ b/boragegw/peers/_authenticity.py
@@ -28,7 +28,7 @@
         self.capacity = capacity
         self._windows = {}
 
-    def accepts(self, sender, sequence, sent_at, wall):
+    def accept(self, sender, sequence, sent_at, wall):
         """Return whether the message is new, and remember it."""
         if abs(wall - sent_at) > self.max_age:
             return False
--- a/boragegw/peers/_base.py
+++ b/boragegw/peers/_base.py
@@ -64,7 +64,7 @@
         """
 
     @abc.abstractmethod
-    async def hand_over(self, address, sealed):
+    async def send_sealed_table(self, address, sealed):
         """Give a :class:`~boragegw.decisions.SealedTable` to a peer to keep.
 
         :raises PeerError: unless the peer has confirmed that it holds all of it.
--- a/boragegw/peers/_codec.py
+++ b/boragegw/peers/_codec.py
@@ -174,6 +174,6 @@
             sent_at = root.sentAtMs / 1000
         except (capnp.KjException, KeyError, ValueError) as error:
             raise MalformedDatagramError(str(error)) from error
-        if not self._window.accepts(sender, sequence, sent_at, self.clock.wall()):
+        if not self._window.accept(sender, sequence, sent_at, self.clock.wall()):
             raise MalformedDatagramError("replayed or too old")
         return sender, message
--- a/boragegw/peers/_http.py
+++ b/boragegw/peers/_http.py
@@ -7,8 +7,8 @@
 from boragegw import errors, messages
 from boragegw.peers import _base, _tables
 
-SIGNATURE = b"boragegw-peer-signature"
-FORWARD = b"boragegw-forward"
+SIGNATURE_HEADER = b"boragegw-peer-signature"
+FORWARD_HEADER = b"boragegw-forward"
 FORWARD_PATH = "/peer/forward"
 CONFIGURATION_PATH = "/peer/configuration"
 SEALED_PATH = "/peer/sealed"
@@ -17,7 +17,7 @@
 BUNDLE_LIMIT = 64 << 20
 
 
-def pack_forward(incarnation, request, remaining):
+def encode_forward_header(incarnation, request, remaining):
     """Return the header value that describes a forwarded request, and its parts.
 
     The parts are signed, so they are joined in one unambiguous text.
@@ -36,7 +36,7 @@
     return base64.urlsafe_b64encode(text)
 
 
-def unpack_forward(value):
+def decode_forward_header(value):
     """Return the fields of a forwarded request.
 
     :raises PeerError: if they are damaged.
@@ -85,11 +85,11 @@
     async def forward(self, address, incarnation, request):
         """Have another process carry ``request``; streamed both ways."""
         remaining = request.deadline - self.clock.now()
-        described = pack_forward(incarnation, request, remaining)
-        signature = self.signer.sign(self.clock.wall(), FORWARD, described)
+        described = encode_forward_header(incarnation, request, remaining)
+        signature = self.signer.sign(self.clock.wall(), FORWARD_HEADER, described)
         skipped = (b"host", b"content-length")
         headers = [(k, v) for k, v in request.headers if k not in skipped]
-        headers += [(FORWARD, described), (SIGNATURE, signature)]
+        headers += [(FORWARD_HEADER, described), (SIGNATURE_HEADER, signature)]
         if request.trace is not None:
             headers = [h for h in headers if h[0] != messages.TRACEPARENT_HEADER]
             headers.append((messages.TRACEPARENT_HEADER, request.trace))
@@ -111,7 +111,7 @@
     async def _answer(self, address, response):
         headers = [(k.lower(), v) for k, v in response.headers.raw]
         verdict = messages.find_header(headers, messages.VERDICT_HEADER)
-        if messages.find_header(headers, FORWARD) is None or verdict is None:
+        if messages.find_header(headers, FORWARD_HEADER) is None or verdict is None:
             await response.aclose()
             raise _base.PeerError(
                 f"{address}: status {response.status_code}, not from the process asked",
@@ -121,7 +121,7 @@
             (k, v)
             for k, v in headers
             if k not in messages.HOP_BY_HOP_HEADERS
-            and k not in (FORWARD, b"date", b"server")
+            and k not in (FORWARD_HEADER, b"date", b"server")
         ]
         return messages.Response(
             response.status_code,
@@ -138,7 +138,7 @@
             response = await self._http().request(
                 method,
                 f"http://{address}{path}",
-                headers={SIGNATURE.decode(): signature.decode()},
+                headers={SIGNATURE_HEADER.decode(): signature.decode()},
                 content=content,
             )
         except httpx.HTTPError as error:
@@ -151,14 +151,16 @@
 
     async def fetch_configuration(self, address, known):
         """Return a peer's configuration bundle."""
-        content = _tables.encode_known(known)
+        content = _tables.encode_known_configuration(known)
         return _tables.decode_bundle(
             await self._bulk("POST", address, CONFIGURATION_PATH, content)
         )
 
-    async def hand_over(self, address, sealed):
+    async def send_sealed_table(self, address, sealed):
         """Give a sealed table to a peer."""
-        await self._bulk("POST", address, SEALED_PATH, _tables.encode_sealed(sealed))
+        await self._bulk(
+            "POST", address, SEALED_PATH, _tables.encode_sealed_table(sealed)
+        )
 
     async def aclose(self):
         """Close the socket and all connections."""
--- a/boragegw/peers/_tables.py
+++ b/boragegw/peers/_tables.py
@@ -43,7 +43,7 @@
     )
 
 
-def encode_sealed(sealed):
+def encode_sealed_table(sealed):
     """Return the bytes of a sealed table."""
     rows = [
         [key, _encode_bytes(fingerprint), _encode_outcome(outcome)]
@@ -58,7 +58,7 @@
     return json.dumps(content).encode()
 
 
-def decode_sealed(raw):
+def decode_sealed_table(raw):
     """Return the sealed table in ``raw``.
 
     :raises PeerError: if it is damaged.
@@ -80,7 +80,7 @@
         raise _base.PeerError(f"damaged table: {error}") from error
 
 
-def encode_known(known):
+def encode_known_configuration(known):
     """Return the bytes of a :class:`KnownConfiguration`."""
     content = {
         "revision": known.revision,
@@ -90,7 +90,7 @@
     return json.dumps(content).encode()
 
 
-def decode_known(raw):
+def decode_known_configuration(raw):
     """Return the :class:`KnownConfiguration` in ``raw``.
 
     :raises PeerError: if it is damaged.
--- a/boragegw/peers/tests/test_peer_contract.py
+++ b/boragegw/peers/tests/test_peer_contract.py
@@ -121,7 +121,7 @@
         ),
     }
     table = decisions.SealedTable(2**64 - 1, float("-inf"), outcomes, 99.0)
-    decoded = peers.decode_sealed(peers.encode_sealed(table))
+    decoded = peers.decode_sealed_table(peers.encode_sealed_table(table))
     assert decoded.incarnation == table.incarnation
     assert decoded.watermark == table.watermark
     assert decoded.outcomes["ran"] == outcomes["ran"]
@@ -133,7 +133,7 @@
 @pytest.mark.parametrize("raw", [b"", b"{}", b"[]", b'{"rows": 3}', b"\xff"])
 def test_damaged_table_is_refused(raw):
     with pytest.raises(peers.PeerError):
-        peers.decode_sealed(raw)
+        peers.decode_sealed_table(raw)
 
 
 class TestMembership:
--- a/boragegw/server/_node.py
+++ b/boragegw/server/_node.py
@@ -365,7 +365,7 @@
 
     async def _hand_table(self, member, table):
         try:
-            await self.network.hand_over(member.peer_address, table)
+            await self.network.send_sealed_table(member.peer_address, table)
         except peers.PeerError as error:
             logger.warning("key table not handed over: %s", error)
 
--- a/boragegw/server/_peer_application.py
+++ b/boragegw/server/_peer_application.py
@@ -57,15 +57,15 @@
             await _reply(send, 400)
 
     def _is_signed(self, scope, *parts):
-        value = messages.find_header(scope["headers"], _http.SIGNATURE, b"")
+        value = messages.find_header(scope["headers"], _http.SIGNATURE_HEADER, b"")
         if self.signer.verify(self.node.clock.wall(), value, *parts):
             return True
         self.node.board.counters["peers.requests_refused"] += 1
         return False
 
     async def _forward(self, scope, receive, send):
-        described = messages.find_header(scope["headers"], _http.FORWARD, b"")
-        if not self._is_signed(scope, _http.FORWARD, described):
+        described = messages.find_header(scope["headers"], _http.FORWARD_HEADER, b"")
+        if not self._is_signed(scope, _http.FORWARD_HEADER, described):
             await _reply(send, 403)
             return
         lifecycle = self.node.board.lifecycle
@@ -76,9 +76,9 @@
             lifecycle.in_flight -= 1
 
     async def _carry(self, scope, receive, send, described):
-        fields = _http.unpack_forward(described)
+        fields = _http.decode_forward_header(described)
         incarnation, request_id, service, method, target, key, remaining, left = fields
-        skipped = (_http.FORWARD, _http.SIGNATURE)
+        skipped = (_http.FORWARD_HEADER, _http.SIGNATURE_HEADER)
         request = messages.Request(
             request_id=request_id,
             service=service,
@@ -100,13 +100,15 @@
     async def _configuration(self, scope, receive, send):
         raw = await self._signed_body(scope, receive, send, KNOWN_LIMIT)
         if raw is not None:
-            bundle = self.node.configuration.build_bundle(_tables.decode_known(raw))
+            bundle = self.node.configuration.build_bundle(
+                _tables.decode_known_configuration(raw)
+            )
             await _reply(send, 200, _tables.encode_bundle(bundle))
 
     async def _sealed(self, scope, receive, send):
         raw = await self._signed_body(scope, receive, send, SEALED_LIMIT)
         if raw is not None:
-            self.node.take_sealed(peers.decode_sealed(raw))
+            self.node.take_sealed(peers.decode_sealed_table(raw))
             await _reply(send, 200)
 
     async def _signed_body(self, scope, receive, send, limit):
@@ -147,7 +149,7 @@
     headers = [
         *(h for h in answer.headers if h[0] != messages.VERDICT_HEADER),
         (messages.VERDICT_HEADER, answer.verdict.value.encode()),
-        (_http.FORWARD, b"answer"),
+        (_http.FORWARD_HEADER, b"answer"),
     ]
     try:
         await send(
--- a/boragegw/standins/_virtual_network.py
+++ b/boragegw/standins/_virtual_network.py
@@ -160,13 +160,13 @@
             raise peers.PeerError(f"{address}: unreachable")
         return node.configuration.build_bundle(known)
 
-    async def hand_over(self, address, sealed):
+    async def send_sealed_table(self, address, sealed):
         """Give a sealed table to a peer, through its encoded form."""
         node = self._peer(address)
         await asyncio.sleep(0.002)
         if node is None or address in self.world.paused:
             raise peers.PeerError(f"{address}: unreachable")
-        node.take_sealed(peers.decode_sealed(peers.encode_sealed(sealed)))
+        node.take_sealed(peers.decode_sealed_table(peers.encode_sealed_table(sealed)))
 
 
 def _copied(message):
