--- a/boragegw/backends/__init__.py
+++ b/boragegw/backends/__init__.py
@@ -1,4 +1,4 @@
-"""Attempts on backend servers: connections, verdicts, load reports."""
+"""Transport to backend servers: connection pools, attempts and load reports."""
 
 from boragegw.backends._base import (
     Attempt,
--- a/boragegw/backends/_base.py
+++ b/boragegw/backends/_base.py
@@ -1,4 +1,4 @@
-"""The interface to backend servers."""
+"""Abstract interface of the transport to backend servers."""
 
 import abc
 import dataclasses
@@ -8,10 +8,10 @@
 
 
 class Failure(enum.StrEnum):
-    """How an attempt failed.
+    """Kind of failure of an attempt.
 
-    ``CLOSED`` is an idle connection that the other end has closed, found before
-    anything was sent; the backend server may have restarted.
+    ``CLOSED`` means that the backend server has closed an idle connection. The pool
+    detects this before it sends anything. The backend server may have restarted.
     """
 
     UNREACHABLE = "unreachable"
@@ -26,12 +26,14 @@
 
 
 class AttemptError(errors.BoragegwError):
-    """An attempt ended without an answer.
-
-    :param failure: how.
-    :param verdict: whether the request may have run in this attempt.
-    :param report: the backend server's load report if its refusal carried one.
-    :param retry_after: seconds that a refusing backend server asks for, or ``None``.
+    """An attempt ended without a usable response.
+
+    :param failure: the :class:`Failure`.
+    :param verdict: the :class:`~boragegw.errors.Verdict`, which tells whether the
+        request may have run in this attempt.
+    :param report: the load report in the backend server's refusal, or ``None``.
+    :param retry_after: seconds to wait, as the refusing backend server requests, or
+        ``None``.
     """
 
     def __init__(self, failure, verdict, detail, report=None, retry_after=None):
@@ -44,13 +46,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One sending of a request to one backend server.
+    """One attempt to run a request on one backend server.
 
-    :param attempt_id: echoed by the backend server.
+    :param attempt_id: identifier that the backend server echoes in its response.
     :param vm: the backend server's :class:`~boragegw.blackboard.VirtualMachine`.
-    :param content: the whole body as bytes, or ``None`` if ``stream`` gives it.
-    :param stream: async iterator of bytes, or ``None``.
-    :param deadline: monotonic seconds by which the answer must begin.
+    :param content: the complete body, or ``None`` if ``stream`` provides it.
+    :param stream: async iterator of the chunks of the body, or ``None``.
+    :param deadline: monotonic seconds by which the response head must arrive.
     :param new_connection: whether to open a new connection instead of an idle one.
     """
 
@@ -68,9 +70,10 @@
 
 @dataclasses.dataclass(slots=True)
 class BackendResponse:
-    """The head of a backend server's answer and its body to come.
+    """The head of a backend server's response and a stream of its body.
 
-    :param body: async iterator; raises ``TruncatedResponseError`` if it breaks off.
+    :param body: async iterator of bytes. It raises ``TruncatedResponseError`` if the
+        body ends early.
     :param report: the load report, or ``None``.
     """
 
@@ -80,32 +83,36 @@
     report: object
 
     async def aclose(self):
-        """Give up the rest of the body."""
+        """Discard the rest of the body and close its connection."""
         await self.body.aclose()
 
 
 class BackendTransport(abc.ABC):
-    """Sends attempts and probes to backend servers."""
+    """Transport that sends attempts and probes to backend servers."""
 
     @abc.abstractmethod
     async def send(self, attempt):
         """Send ``attempt`` and return its :class:`BackendResponse`.
 
-        :raises AttemptError: with the verdict.
+        :raises AttemptError: if the attempt failed; it carries the verdict.
         """
 
     @abc.abstractmethod
     async def probe(self, vm, timeout):
-        """Return a load report asked for on its own, over a new connection.
+        """Request a load report over a new connection and return it.
 
-        :raises AttemptError: if none comes within ``timeout`` seconds.
+        :raises AttemptError: if no report arrives within ``timeout`` seconds.
         """
 
     def set_entry_count(self, count):  # noqa: B027 - optional
-        """Tell by how many entries a backend server's connections are shared."""
+        """Set the number of entries that share the connections of backend servers."""
 
     def close_idle_connections(self, vm, opened_before=None):  # noqa: B027 - optional
-        """Drop the idle connections to ``vm`` opened before a time (all: ``None``)."""
+        """Close the idle connections to ``vm``.
+
+        :param opened_before: close only connections opened before this time, in
+            monotonic seconds; ``None`` closes all.
+        """
 
     async def aclose(self):  # noqa: B027 - optional
         """Close all connections."""
--- a/boragegw/backends/_http.py
+++ b/boragegw/backends/_http.py
@@ -1,4 +1,4 @@
-"""Attempts over HTTP/1.1: httpcore connections in a pool for each backend server."""
+"""HTTP/1.1 transport with a pool of httpcore connections per backend server."""
 
 import asyncio
 
@@ -10,19 +10,20 @@
 
 NOT_RUN = errors.Verdict.NOT_RUN.value.encode()
 PROBE_TARGET = b"/boragegw/load"
-NON_IDEMPOTENT_IDLE_LIMIT = 1.0
-DISCARD_LIMIT = 65_536
+NON_IDEMPOTENT_IDLE_LIMIT = 1.0  # seconds
+DRAIN_LIMIT = 65_536  # bytes
 
 
-def _seconds(value):
-    """Return the seconds of a ``retry-after`` header, or ``None``."""
+def _parse_retry_after(value):
+    """Return the seconds in a ``retry-after`` header, or ``None``."""
     return float(value) if value is not None and value.isdigit() else None
 
 
 class ResponseBody:
-    """An answer's body; its connection returns to the pool once it is complete.
+    """Response body that returns its connection to the pool when it is complete.
 
-    A truncated body never ends as if it were whole: it raises.
+    A truncated body raises ``TruncatedResponseError``, so it is never mistaken for a
+    complete one.
 
     :param transport: the :class:`HttpBackendTransport`.
     """
@@ -45,10 +46,10 @@
             async with asyncio.timeout(self._transport.stall_timeout):
                 chunk = await anext(self._chunks, None)
         except (TimeoutError, httpcore.NetworkError, httpcore.ProtocolError) as error:
-            self._give_up()
+            self._abort()
             raise errors.TruncatedResponseError(type(error).__name__) from error
         except BaseException:
-            self._give_up()
+            self._abort()
             raise
         if chunk is not None:
             return chunk
@@ -57,34 +58,34 @@
         self._pool.release(self._connection, self._transport.clock.now())
         raise StopAsyncIteration
 
-    def _give_up(self):
+    def _abort(self):
         if not self._finished:
             self._finished = True
-            self._pool.abandon(self._connection)
+            self._pool.close_connection(self._connection)
 
     async def aclose(self):
-        """Give up the rest, which closes the connection and so cancels the attempt."""
-        self._give_up()
+        """Close the connection, which cancels the attempt on the backend server."""
+        self._abort()
 
-    async def discard(self):
-        """Read a short body to its end so that the connection can be used again."""
+    async def drain(self):
+        """Read a short body to its end so that the connection can be reused."""
         size = 0
         try:
             async for chunk in self:
                 size += len(chunk)
-                if size > DISCARD_LIMIT:
-                    self._give_up()
+                if size > DRAIN_LIMIT:
+                    self._abort()
         except errors.TruncatedResponseError:
-            self._give_up()
+            self._abort()
 
 
 class HttpBackendTransport(_base.BackendTransport):
-    """The transport in production.
+    """Transport that sends attempts over HTTP/1.1.
 
     :param clock: a :class:`~boragegw.utils.Clock`.
-    :param connect_timeout: seconds.
-    :param idle_limit: seconds after which an idle connection is not used again.
-    :param stall_timeout: seconds without a byte after which a body has stalled.
+    :param connect_timeout: seconds allowed for opening a connection.
+    :param idle_limit: seconds after which an idle connection is not reused.
+    :param stall_timeout: seconds without data after which a body counts as truncated.
     """
 
     def __init__(self, clock, connect_timeout=1.0, idle_limit=30.0, stall_timeout=5.0):
@@ -93,7 +94,7 @@
         self.idle_limit = idle_limit
         self.stall_timeout = stall_timeout
         self._pools = {}
-        self._sharers = 1
+        self._entry_count = 1
 
     def _pool(self, vm):
         pool = self._pools.get(vm.address)
@@ -104,39 +105,39 @@
                 idle_limit=self.idle_limit,
             )
             self._pools[vm.address] = pool
-        pool.limit = max(1, vm.connections // self._sharers)
+        pool.limit = max(1, vm.connections // self._entry_count)
         return pool
 
     def set_entry_count(self, count):
-        """Divide each backend server's connections among ``count`` entries."""
-        self._sharers = max(1, count)
+        """Divide the connections of each backend server among ``count`` entries."""
+        self._entry_count = max(1, count)
 
     def close_idle_connections(self, vm, opened_before=None):
-        """Drop idle connections to ``vm``."""
+        """Close the idle connections to ``vm``."""
         pool = self._pools.get(vm.address)
         if pool is not None:
             pool.close_idle_connections(opened_before)
 
     async def send(self, attempt):
-        """Send ``attempt`` and return the answer once its head has arrived."""
+        """Send ``attempt`` and return the response once its head has arrived."""
         pool = self._pool(attempt.vm)
         now = self.clock.now()
-        # A connection may have gone silent since its last use. What cannot be sent
-        # again goes on one that was proved alive a moment ago, or on a new one, which
-        # costs about a millisecond.
+        # An idle connection may have failed silently since its last use. A request
+        # that cannot be retried therefore uses a connection that worked a moment ago,
+        # or a new one, which costs about a millisecond.
         idle_limit = None if attempt.idempotent else NON_IDEMPOTENT_IDLE_LIMIT
         connection = await pool.acquire(now, attempt.new_connection, idle_limit)
         writes = connection.stream.writes
         try:
             response = await self._exchange(connection, attempt)
         except Exception as error:
-            pool.abandon(connection)
-            handed_over = connection.stream.writes > writes
-            raise self._failure(error, attempt, handed_over) from error
+            pool.close_connection(connection)
+            has_written = connection.stream.writes > writes
+            raise self._translate_error(error, attempt, has_written) from error
         except BaseException:
-            pool.abandon(connection)
+            pool.close_connection(connection)
             raise
-        return await self._accept(pool, connection, attempt, response)
+        return await self._check_response(pool, connection, attempt, response)
 
     async def _exchange(self, connection, attempt):
         headers = [
@@ -165,13 +166,13 @@
             return await connection.http.handle_async_request(request)
 
     @staticmethod
-    def _failure(error, attempt, handed_over):
-        """Return the error to raise for ``error`` during the exchange.
+    def _translate_error(error, attempt, has_written):
+        """Return the exception to raise for ``error`` during the exchange.
 
-        A verdict of not-run needs proof: no write was handed to the connection, or
-        the backend server said so.
+        The verdict is not-run only if it is certain: either nothing was written to
+        the connection, or the backend server has stated it.
         """
-        verdict = errors.Verdict.MAY_HAVE_RUN if handed_over else errors.Verdict.NOT_RUN
+        verdict = errors.Verdict.MAY_HAVE_RUN if has_written else errors.Verdict.NOT_RUN
         if isinstance(error, errors.RequestError):
             return errors.RequestError(error.code, error.detail, verdict)
         timed_out = isinstance(error, TimeoutError)
@@ -180,11 +181,11 @@
             failure, verdict, f"{attempt.vm.name}: {type(error).__name__}: {error}"
         )
 
-    async def _accept(self, pool, connection, attempt, response):
-        """Check the answer's head and return the answer.
+    async def _check_response(self, pool, connection, attempt, response):
+        """Check the head of the response and return it as a ``BackendResponse``.
 
-        Guards against crossed answers: an answer that was late for an earlier request
-        would be given to another caller. The echoed attempt id shows it.
+        The echoed attempt id must match. Otherwise a late response to an earlier
+        request on the same connection would reach the wrong caller.
         """
         headers = [(key.lower(), value) for key, value in response.headers]
         body = ResponseBody(self, pool, connection, response)
@@ -196,26 +197,26 @@
             raise _base.AttemptError(
                 _base.Failure.MISMATCH,
                 errors.Verdict.MAY_HAVE_RUN,
-                f"{attempt.vm.name}: answer to another attempt",
+                f"{attempt.vm.name}: response to another attempt",
             )
         now = self.clock.now()
         report = _reports.parse_report(
             messages.find_header(headers, _headers.LOAD_HEADER), now
         )
         if messages.find_header(headers, _headers.VERDICT_HEADER) == NOT_RUN:
-            await body.discard()
+            await body.drain()
             raise _base.AttemptError(
                 _base.Failure.REFUSED,
                 errors.Verdict.NOT_RUN,
                 f"{attempt.vm.name}: refused with status {response.status}",
                 report,
-                _seconds(messages.find_header(headers, b"retry-after")),
+                _parse_retry_after(messages.find_header(headers, b"retry-after")),
             )
         kept = list(messages.end_to_end_headers(headers))
         return _base.BackendResponse(response.status, kept, body, report)
 
     async def probe(self, vm, timeout):
-        """Ask for a load report over a new connection."""
+        """Request a load report over a new connection and return it."""
         now = self.clock.now()
         attempt = _base.Attempt(
             attempt_id="probe",
@@ -229,16 +230,16 @@
             idempotent=True,
             new_connection=True,
         )
-        answer = await self.send(attempt)
-        async for _ in answer.body:
+        response = await self.send(attempt)
+        async for _ in response.body:
             pass
-        if answer.report is None:
+        if response.report is None:
             raise _base.AttemptError(
                 _base.Failure.MISMATCH,
                 errors.Verdict.RAN,
-                f"{vm.name}: no load report in the answer to a probe",
+                f"{vm.name}: no load report in the response to a probe",
             )
-        return answer.report
+        return response.report
 
     async def aclose(self):
         """Close all idle connections."""
--- a/boragegw/backends/_reports.py
+++ b/boragegw/backends/_reports.py
@@ -1,4 +1,4 @@
-"""The load report: one header on each answer, ``name=value`` joined by ``&``."""
+"""Format of the load report, a header with URL-encoded fields on each response."""
 
 import urllib.parse
 
@@ -20,7 +20,8 @@
 def parse_report(value, now):
     """Return the :class:`~boragegw.blackboard.LoadReport` in ``value``, or ``None``.
 
-    A report that cannot be read counts as none; reports only ever lower trust.
+    A malformed report counts as missing, which is safe because a report only ever
+    lowers the trust in a backend server.
     """
     if not value:
         return None
--- a/boragegw/backends/_stream.py
+++ b/boragegw/backends/_stream.py
@@ -1,4 +1,4 @@
-"""A network stream for httpcore that tells whether bytes were handed over."""
+"""Network stream for httpcore that records whether anything was written."""
 
 import asyncio
 import ssl
@@ -6,8 +6,8 @@
 import httpcore
 
 
-class MeteredStream(httpcore.AsyncNetworkStream):
-    """An asyncio stream pair that counts the writes handed to the connection.
+class WriteCountingStream(httpcore.AsyncNetworkStream):
+    """Pair of asyncio streams that counts its writes.
 
     :param reader: an ``asyncio.StreamReader``.
     :param writer: an ``asyncio.StreamWriter``.
@@ -22,7 +22,7 @@
     async def open(cls, address, timeout):
         """Connect to ``host:port``.
 
-        :raises OSError: if it cannot be reached; ``TimeoutError`` is one.
+        :raises OSError: if it cannot be reached; ``TimeoutError`` is a subclass.
         """
         host, _, port = address.rpartition(":")
         async with asyncio.timeout(timeout):
@@ -30,14 +30,14 @@
         return cls(reader, writer)
 
     async def read(self, max_bytes, timeout=None):
-        """Return up to ``max_bytes``; the caller of the attempt keeps the time."""
+        """Read up to ``max_bytes``; the transport applies timeouts, not this method."""
         try:
             return await self.reader.read(max_bytes)
         except OSError as error:
             raise httpcore.ReadError(str(error)) from error
 
     async def write(self, buffer, timeout=None):
-        """Hand ``buffer`` to the connection."""
+        """Write ``buffer``; the transport applies timeouts, not this method."""
         if not buffer:
             return
         self.writes += 1
@@ -48,22 +48,23 @@
             raise httpcore.WriteError(str(error)) from error
 
     async def aclose(self):
-        """Close at once; nobody waits for the other end."""
+        """Close the connection without waiting for the other end."""
         self.abort()
 
     def abort(self):
-        """Close at once, without a coroutine."""
+        """Close the connection immediately; a synchronous :meth:`aclose`."""
         self.writer.transport.abort()
 
     async def start_tls(self, ssl_context, server_hostname=None, timeout=None):
-        """Refuse: backend servers are met in plain text within the data centre."""
+        """Raise an error: traffic within a data centre is not encrypted."""
         raise ssl.SSLError("TLS towards backend servers is not supported")
 
     def get_extra_info(self, info):
-        """Answer httpcore's question whether an idle connection has become readable.
+        """Return transport information, above all whether the stream is readable.
 
-        Guards against crossed answers: bytes that arrive on an idle connection belong
-        to no request, and the next one would take them for its own answer.
+        httpcore treats an idle connection that is readable as expired. Bytes on an idle
+        connection belong to no request, and the next request would otherwise read
+        them as its own response.
         """
         if info == "is_readable":
             buffered = bool(self.reader._buffer)
--- a/boragegw/backends/tests/test_transport_contract.py
+++ b/boragegw/backends/tests/test_transport_contract.py
@@ -1,4 +1,4 @@
-"""What the transport makes of each thing a backend server can do, in tables."""
+"""Tests of the HTTP transport against the ways in which a backend server behaves."""
 
 import asyncio
 import contextlib
@@ -12,9 +12,9 @@
 
 
 class ScriptedServer:
-    """Answers each request with the next of some scripted byte strings.
+    """Server that sends the next scripted byte string for each request.
 
-    ``None`` closes the connection; "wait" never answers.
+    ``None`` closes the connection; "wait" never responds.
     """
 
     def __init__(self, script):
@@ -156,7 +156,7 @@
     assert error.verdict is NOT_RUN
 
 
-def test_connection_is_used_again_after_a_complete_exchange():
+def test_connection_is_reused_after_a_complete_exchange():
     async def scenario(transport, server):
         for _ in range(3):
             _, body = await exchange(transport, server)
@@ -166,7 +166,7 @@
     assert run([GOOD] * 3, scenario) == 1
 
 
-def test_truncated_body_raises_and_its_connection_is_not_used_again():
+def test_truncated_body_raises_and_its_connection_is_not_reused():
     async def scenario(transport, server):
         with pytest.raises(errors.TruncatedResponseError):
             await exchange(transport, server)
@@ -176,11 +176,11 @@
     assert run([HEAD_ONLY, GOOD], scenario) == 2
 
 
-def test_late_bytes_on_an_idle_connection_are_not_the_next_answer():
-    """A filer reads the answer to somebody else's request.
+def test_late_bytes_on_an_idle_connection_are_not_the_next_response():
+    """A caller must not receive the response to another request.
 
-    A backend server sends a second answer late, after the first exchange was over;
-    the bytes wait in the connection that the next request would use.
+    A backend server sends a second response after the first exchange has ended. Its
+    bytes are buffered on the idle connection that the next request would reuse.
     """
 
     async def scenario(transport, server):
@@ -218,7 +218,7 @@
     assert error.verdict is NOT_RUN
 
 
-def test_limit_is_shared_among_the_entries():
+def test_connection_limit_is_divided_among_entries():
     async def scenario(transport, server):
         transport.set_entry_count(2)
         await exchange(transport, server)
@@ -227,7 +227,7 @@
     assert run([GOOD], scenario) == 1
 
 
-def test_discarded_connections_are_replaced():
+def test_closed_idle_connections_are_replaced():
     async def scenario(transport, server):
         await exchange(transport, server)
         transport.close_idle_connections(server.vm)
@@ -250,7 +250,7 @@
 
 
 @pytest.mark.parametrize("value", sorted(REPORTS))
-def test_report_is_read_or_counts_as_none(value):
+def test_parse_report(value):
     report = backends.parse_report(value, 7.0)
     expected = REPORTS[value]
     if expected is None:
