--- a/boragegw/peers/__init__.py
+++ b/boragegw/peers/__init__.py
@@ -1,4 +1,4 @@
-"""What the entry processes tell each other."""
+"""Communication between entry processes: datagrams, forwarding, bulk transfers."""
 
 from boragegw.peers._authenticity import ReplayWindow, RequestSigner
 from boragegw.peers._base import (
--- a/boragegw/peers/_authenticity.py
+++ b/boragegw/peers/_authenticity.py
@@ -1,4 +1,4 @@
-"""Proof that a message comes from a peer, is whole and is no replay."""
+"""Authentication of messages between peers, and protection against replays."""
 
 import dataclasses
 import hashlib
@@ -10,17 +10,20 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Window:
+class _SenderWindow:
     highest: int
     seen: int
 
 
 class ReplayWindow:
-    """Accepts each (sender, sequence) once, also out of order within a window.
+    """Sliding window that accepts each pair (sender, sequence number) once.
 
-    :param max_age: seconds of difference accepted between the clocks of two VMs;
-        guards against a replay to a process that has never heard the sender.
-    :param capacity: senders remembered; the oldest goes first.
+    Messages may arrive out of order within :data:`WINDOW_BITS` sequence numbers.
+
+    :param max_age: most seconds between the sender's time of sending and this process's
+        clock, which includes the difference between the clocks of two VMs. Guards
+        against a replay to a process that has never received from the sender.
+    :param capacity: number of senders remembered; the earliest is evicted first.
     """
 
     def __init__(self, max_age=30.0, capacity=4000):
@@ -29,12 +32,12 @@
         self._windows = {}
 
     def accept(self, sender, sequence, sent_at, wall):
-        """Return whether the message is new, and remember it."""
+        """Record the message and return whether it is new."""
         if abs(wall - sent_at) > self.max_age:
             return False
         window = self._windows.get(sender)
         if window is None:
-            self._windows[sender] = _Window(sequence, 1)
+            self._windows[sender] = _SenderWindow(sequence, 1)
             if len(self._windows) > self.capacity:
                 del self._windows[next(iter(self._windows))]
             return True
@@ -54,12 +57,13 @@
 
 
 class RequestSigner:
-    """Signs requests between peers over HTTP.
+    """Signs and verifies HTTP requests between peers.
 
-    The MAC covers method, target, the headers that carry meaning, time and a nonce;
-    for bulk transfers also the body.
+    The MAC covers the time, a nonce and the parts that the caller passes. For a
+    forwarded request these are the header that describes it. For a bulk transfer
+    these are the method, the path and the body.
 
-    :param secret: the peers' shared key.
+    :param secret: key that all peers share.
     :param max_age: seconds for which a signature is accepted.
     """
 
@@ -76,14 +80,18 @@
         return digest.hexdigest()[: 2 * MAC_BYTES].encode()
 
     def sign(self, wall, *parts):
-        """Return the header value for a message of ``parts`` (bytes)."""
+        """Return the signature header for a message.
+
+        :param wall: wall clock time in seconds.
+        :param parts: the signed parts of the message as bytes.
+        """
         stamp = str(int(wall * 1000)).encode()
         nonce = secrets.token_hex(8).encode()
         mac = self._mac(b"http", stamp, nonce, *parts)
         return b".".join((stamp, nonce, mac))
 
     def verify(self, wall, value, *parts):
-        """Return whether ``value`` signs ``parts``, is fresh and is no replay."""
+        """Return whether ``value`` is a recent, unused signature of ``parts``."""
         stamp, _, rest = value.partition(b".")
         nonce, _, mac = rest.partition(b".")
         if not stamp.isdigit() or not hmac.compare_digest(
@@ -93,10 +101,10 @@
         sent_at = int(stamp) / 1000
         if abs(wall - sent_at) > self.max_age or nonce in self._nonces:
             return False
-        self._remember(nonce, wall)
+        self._record_nonce(nonce, wall)
         return True
 
-    def _remember(self, nonce, wall):
+    def _record_nonce(self, nonce, wall):
         self._nonces[nonce] = wall
         oldest = next(iter(self._nonces))
         while self._nonces[oldest] < wall - 2 * self.max_age:
--- a/boragegw/peers/_base.py
+++ b/boragegw/peers/_base.py
@@ -1,4 +1,4 @@
-"""The interface among entry processes."""
+"""Abstract interface of the network between entry processes."""
 
 import abc
 import dataclasses
@@ -7,7 +7,7 @@
 
 
 class PeerError(errors.BoragegwError):
-    """A peer could not be reached, or refused.
+    """A peer was unreachable or refused a request, or its message was malformed.
 
     :param sent: whether a byte of the message may have reached the peer.
     """
@@ -19,11 +19,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KnownConfiguration:
-    """What a learner has, so that a peer sends only what is new.
+    """State that a process already holds, so that a peer sends only newer parts.
 
-    :param revision: configuration revision in force.
-    :param version: version of the list of VMs.
-    :param hashes: SHA-256 of the documents held, as hexadecimal text.
+    :param revision: current configuration revision.
+    :param version: current version of the list of VMs.
+    :param hashes: SHA-256 hashes of the documents held, as hexadecimal text.
     """
 
     revision: int = 0
@@ -33,7 +33,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationBundle:
-    """What a peer has that a learner has not; what is not newer is empty."""
+    """Parts of a peer's configuration that the requesting process does not hold.
+
+    Parts that are not newer are empty.
+
+    :param head: raw head document.
+    :param documents: raw documents by name.
+    :param vms: raw list of VMs.
+    """
 
     head: bytes
     documents: dict
@@ -41,33 +48,33 @@
 
 
 class PeerNetwork(abc.ABC):
-    """Datagrams, forwards and bulk transfers between entry processes."""
+    """Sends datagrams, forwarded requests and bulk transfers to entry processes."""
 
     @abc.abstractmethod
     def send(self, address, message):
-        """Send ``message`` as a datagram; it may be lost."""
+        """Send ``message`` as a datagram, which may be lost."""
 
     @abc.abstractmethod
     async def forward(self, address, incarnation, request):
-        """Have the process ``incarnation`` at ``address`` carry ``request``.
+        """Forward ``request`` to the process ``incarnation`` at ``address``.
 
-        :returns: its :class:`~boragegw.messages.Response`.
-        :raises PeerError: if there is no answer from that process.
+        :returns: the process's :class:`~boragegw.messages.Response`.
+        :raises PeerError: if that process does not respond.
         """
 
     @abc.abstractmethod
     async def fetch_configuration(self, address, known):
         """Return a peer's :class:`ConfigurationBundle`.
 
-        :param known: a :class:`KnownConfiguration`.
-        :raises PeerError: if there is none.
+        :param known: :class:`KnownConfiguration` of this process.
+        :raises PeerError: if the peer returns none.
         """
 
     @abc.abstractmethod
     async def send_sealed_table(self, address, sealed):
-        """Give a :class:`~boragegw.decisions.SealedTable` to a peer to keep.
+        """Send a :class:`~boragegw.decisions.SealedTable` to a peer, which stores it.
 
-        :raises PeerError: unless the peer has confirmed that it holds all of it.
+        :raises PeerError: unless the peer has confirmed that it holds the whole table.
         """
 
     async def aclose(self):  # noqa: B027 - optional
--- a/boragegw/peers/_codec.py
+++ b/boragegw/peers/_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams as capnp messages (``messages.capnp``, packed) with a MAC at the end."""
+"""Datagram codec: packed capnp messages (``messages.capnp``) followed by a MAC."""
 
 import hashlib
 import hmac
@@ -12,16 +12,16 @@
 capnp.remove_import_hook()
 _SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("messages.capnp")))
 
-DATAGRAM_LIMIT = 1200
-MAX_MS = 0xFFFFFFFF
+DATAGRAM_LIMIT = 1200  # bytes
+MAX_MILLISECONDS = 0xFFFFFFFF  # largest UInt32 of the schema
 
 
 class MalformedDatagramError(ValueError):
-    """A datagram is foreign, damaged or makes no sense."""
+    """A datagram is not from a peer, or is corrupted, replayed or invalid."""
 
 
 def _milliseconds(seconds):
-    return max(0, min(MAX_MS, int(min(seconds, 1e7) * 1000)))
+    return max(0, min(MAX_MILLISECONDS, int(min(seconds, 1e7) * 1000)))
 
 
 def _write_member(builder, member, age):
@@ -128,10 +128,10 @@
 
 
 class DatagramCodec:
-    """Encodes the messages of one sender and decodes those of its peers.
+    """Encodes the messages of this process and decodes those of its peers.
 
-    :param secret: the peers' shared key.
-    :param incarnation: of this process.
+    :param secret: key that all peers share.
+    :param incarnation: identifier of this run of the process, sent as the sender.
     :param clock: a :class:`~boragegw.utils.Clock`.
     """
 
@@ -160,7 +160,8 @@
     def decode(self, datagram):
         """Return the sender's incarnation and the message.
 
-        :raises MalformedDatagramError: for a foreign, damaged, old or repeated one.
+        :raises MalformedDatagramError: if the MAC is wrong, or the datagram is
+            invalid, too old or replayed.
         """
         payload = datagram[: -_authenticity.MAC_BYTES]
         mac = datagram[-_authenticity.MAC_BYTES :]
--- a/boragegw/peers/_http.py
+++ b/boragegw/peers/_http.py
@@ -1,4 +1,4 @@
-"""Forwards and bulk transfers between peers over HTTP, and datagrams over UDP."""
+"""Network between peers: HTTP for forwarding and bulk transfers, UDP for datagrams."""
 
 import base64
 
@@ -12,15 +12,17 @@
 FORWARD_PATH = "/peer/forward"
 CONFIGURATION_PATH = "/peer/configuration"
 SEALED_PATH = "/peer/sealed"
-CONNECT_TIMEOUT = 0.5
-BULK_TIMEOUT = 5.0
-BUNDLE_LIMIT = 64 << 20
+CONNECT_TIMEOUT = 0.5  # seconds
+BULK_TIMEOUT = 5.0  # seconds
+BUNDLE_LIMIT = 64 << 20  # bytes
 
 
 def encode_forward_header(incarnation, request, remaining):
-    """Return the header value that describes a forwarded request, and its parts.
+    """Return the header value that describes a forwarded request.
 
-    The parts are signed, so they are joined in one unambiguous text.
+    The fields are joined in one unambiguous text because they are signed together.
+
+    :param remaining: seconds until the deadline of the request.
     """
     fields = (
         str(incarnation),
@@ -37,9 +39,9 @@
 
 
 def decode_forward_header(value):
-    """Return the fields of a forwarded request.
+    """Return the fields that the header value ``value`` describes.
 
-    :raises PeerError: if they are damaged.
+    :raises PeerError: if the value is malformed.
     """
     try:
         fields = base64.urlsafe_b64decode(value).decode().split("\n")
@@ -55,11 +57,11 @@
             int(left),
         )
     except ValueError as error:
-        raise _base.PeerError(f"damaged forward: {error}") from error
+        raise _base.PeerError(f"malformed forwarding header: {error}") from error
 
 
 class HttpPeerNetwork(_base.PeerNetwork):
-    """The network in production.
+    """Network that uses HTTP and UDP sockets.
 
     :param udp: a :class:`UdpEndpoint`.
     :param signer: a :class:`RequestSigner`.
@@ -83,13 +85,13 @@
         self.udp.send(address, message)
 
     async def forward(self, address, incarnation, request):
-        """Have another process carry ``request``; streamed both ways."""
+        """Forward ``request`` to another process; both bodies are streamed."""
         remaining = request.deadline - self.clock.now()
-        described = encode_forward_header(incarnation, request, remaining)
-        signature = self.signer.sign(self.clock.wall(), FORWARD_HEADER, described)
+        description = encode_forward_header(incarnation, request, remaining)
+        signature = self.signer.sign(self.clock.wall(), FORWARD_HEADER, description)
         skipped = (b"host", b"content-length")
         headers = [(k, v) for k, v in request.headers if k not in skipped]
-        headers += [(FORWARD_HEADER, described), (SIGNATURE_HEADER, signature)]
+        headers += [(FORWARD_HEADER, description), (SIGNATURE_HEADER, signature)]
         if request.trace is not None:
             headers = [h for h in headers if h[0] != messages.TRACEPARENT_HEADER]
             headers.append((messages.TRACEPARENT_HEADER, request.trace))
@@ -106,15 +108,16 @@
             raise _base.PeerError(f"{address}: {error!r}") from error
         except httpx.HTTPError as error:
             raise _base.PeerError(f"{address}: {error!r}", sent=True) from error
-        return await self._answer(address, response)
+        return await self._read_response(address, response)
 
-    async def _answer(self, address, response):
+    async def _read_response(self, address, response):
         headers = [(k.lower(), v) for k, v in response.headers.raw]
         verdict = messages.find_header(headers, messages.VERDICT_HEADER)
         if messages.find_header(headers, FORWARD_HEADER) is None or verdict is None:
             await response.aclose()
             raise _base.PeerError(
-                f"{address}: status {response.status_code}, not from the process asked",
+                f"{address}: status {response.status_code}, "
+                "not from the requested process",
                 sent=True,
             )
         kept = [
@@ -126,11 +129,11 @@
         return messages.Response(
             response.status_code,
             kept,
-            _forwarded_body(response),
+            _stream_body(response),
             errors.Verdict(verdict.decode()),
         )
 
-    async def _bulk(self, method, address, path, content=b""):
+    async def _bulk_request(self, method, address, path, content=b""):
         signature = self.signer.sign(
             self.clock.wall(), method.encode(), path.encode(), content
         )
@@ -153,23 +156,23 @@
         """Return a peer's configuration bundle."""
         content = _tables.encode_known_configuration(known)
         return _tables.decode_bundle(
-            await self._bulk("POST", address, CONFIGURATION_PATH, content)
+            await self._bulk_request("POST", address, CONFIGURATION_PATH, content)
         )
 
     async def send_sealed_table(self, address, sealed):
-        """Give a sealed table to a peer."""
-        await self._bulk(
+        """Send a sealed key table to a peer."""
+        await self._bulk_request(
             "POST", address, SEALED_PATH, _tables.encode_sealed_table(sealed)
         )
 
     async def aclose(self):
-        """Close the socket and all connections."""
+        """Close the UDP socket and all HTTP connections."""
         self.udp.close()
         if self._client is not None:
             await self._client.aclose()
 
 
-async def _forwarded_body(response):
+async def _stream_body(response):
     try:
         async for chunk in response.aiter_raw():
             yield chunk
--- a/boragegw/peers/_messages.py
+++ b/boragegw/peers/_messages.py
@@ -1,11 +1,15 @@
-"""Typed messages between entry processes."""
+"""Messages that entry processes send to each other as datagrams."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Beat:
-    """The latest heartbeat counter of a member, and its age in seconds."""
+    """The latest heartbeat counter of a member and its age.
+
+    :param beat: the counter.
+    :param age: age of the counter in seconds.
+    """
 
     incarnation: int
     beat: int
@@ -14,10 +18,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Heartbeat:
-    """A process's own state and a sample of what it has heard of others.
+    """Gossip message with the state of the sender and of a sample of other members.
 
     :param sender: a :class:`~boragegw.blackboard.Member`.
-    :param members: pairs (member, age in seconds).
+    :param members: pairs (member, age of its heartbeat in seconds).
+    :param beats: :class:`Beat` objects of further members.
     """
 
     sender: object
@@ -27,9 +32,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BackendCount:
-    """Requests that the sender has in flight on a backend server.
+    """Number of requests that the sender has in flight on a backend server.
 
-    :param backend: 32 bit hash of the backend server's name.
+    :param backend: 32-bit hash of the backend server's name.
     """
 
     backend: int
@@ -38,9 +43,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Temperature:
-    """Temperature of a backend server; the later epoch holds.
+    """Whether a backend server is warm or cold; the later epoch takes precedence.
 
-    :param draining: it has told the sender that it wants no new work.
+    :param backend: 32-bit hash of the backend server's name.
+    :param draining: whether it has reported that it accepts no new requests.
     """
 
     backend: int
@@ -51,7 +57,11 @@
 
 @dataclasses.dataclass(slots=True)
 class LoadDigest:
-    """What the sender knows of one service's backend servers."""
+    """Load and temperatures of one service's backend servers, as the sender knows them.
+
+    :param counts: :class:`BackendCount` objects.
+    :param temperatures: :class:`Temperature` objects.
+    """
 
     service: str
     counts: list
@@ -60,8 +70,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Quarantine:
-    """A request that crashes backend servers.
+    """Quarantine of a request that crashes backend servers.
 
+    :param fingerprint: fingerprint of the request.
     :param remaining: seconds until the quarantine expires.
     """
 
--- a/boragegw/peers/_tables.py
+++ b/boragegw/peers/_tables.py
@@ -1,4 +1,4 @@
-"""Sealed key tables and configuration bundles as JSON for bulk transfer."""
+"""JSON codec of bulk transfers: sealed key tables and configuration bundles."""
 
 import base64
 import json
@@ -44,7 +44,7 @@
 
 
 def encode_sealed_table(sealed):
-    """Return the bytes of a sealed table."""
+    """Return a sealed table encoded as JSON."""
     rows = [
         [key, _encode_bytes(fingerprint), _encode_outcome(outcome)]
         for key, (fingerprint, outcome) in sealed.outcomes.items()
@@ -61,7 +61,7 @@
 def decode_sealed_table(raw):
     """Return the sealed table in ``raw``.
 
-    :raises PeerError: if it is damaged.
+    :raises PeerError: if it is malformed.
     """
     try:
         content = json.loads(raw)
@@ -77,11 +77,11 @@
             content["keep_until"],
         )
     except (ValueError, KeyError, TypeError) as error:
-        raise _base.PeerError(f"damaged table: {error}") from error
+        raise _base.PeerError(f"malformed sealed table: {error}") from error
 
 
 def encode_known_configuration(known):
-    """Return the bytes of a :class:`KnownConfiguration`."""
+    """Return a :class:`KnownConfiguration` encoded as JSON."""
     content = {
         "revision": known.revision,
         "version": known.version,
@@ -93,7 +93,7 @@
 def decode_known_configuration(raw):
     """Return the :class:`KnownConfiguration` in ``raw``.
 
-    :raises PeerError: if it is damaged.
+    :raises PeerError: if it is malformed.
     """
     try:
         content = json.loads(raw)
@@ -103,11 +103,11 @@
             frozenset(content["hashes"]),
         )
     except (ValueError, KeyError, TypeError) as error:
-        raise _base.PeerError(f"damaged request: {error}") from error
+        raise _base.PeerError(f"malformed configuration request: {error}") from error
 
 
 def encode_bundle(bundle):
-    """Return the bytes of a configuration bundle."""
+    """Return a configuration bundle encoded as JSON."""
     content = {
         "head": _encode_bytes(bundle.head),
         "documents": {
@@ -121,7 +121,7 @@
 def decode_bundle(raw):
     """Return the configuration bundle in ``raw``.
 
-    :raises PeerError: if it is damaged.
+    :raises PeerError: if it is malformed.
     """
     try:
         content = json.loads(raw)
@@ -134,4 +134,4 @@
             base64.b64decode(content["vms"]),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise _base.PeerError(f"damaged bundle: {error}") from error
+        raise _base.PeerError(f"malformed configuration bundle: {error}") from error
--- a/boragegw/peers/_udp.py
+++ b/boragegw/peers/_udp.py
@@ -1,4 +1,4 @@
-"""The UDP socket of one entry process."""
+"""UDP endpoint for datagrams between entry processes."""
 
 import asyncio
 import logging
@@ -12,7 +12,7 @@
     """Sends and receives authenticated datagrams.
 
     :param codec: a :class:`DatagramCodec`.
-    :param counters: the blackboard's counters.
+    :param counters: the blackboard's counters, by name.
     """
 
     def __init__(self, codec, counters):
@@ -22,14 +22,14 @@
         self._transport = None
 
     async def listen(self, sock):
-        """Serve on the bound socket ``sock``."""
+        """Receive datagrams on the bound socket ``sock``."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: self, sock=sock
         )
 
     def datagram_received(self, data, addr):
-        """Decode one datagram; count and drop what is malformed or foreign."""
+        """Decode one datagram and pass it on, or count and drop a malformed one."""
         self.counters["peers.datagrams_received"] += 1
         self.counters["peers.bytes_received"] += len(data)
         try:
@@ -42,11 +42,11 @@
             self.on_message(sender, message)
 
     def error_received(self, exc):
-        """Count an ICMP error; the next heartbeat goes out all the same."""
+        """Count an ICMP error; later datagrams are sent regardless."""
         self.counters["peers.send_errors"] += 1
 
     def send(self, address, message):
-        """Send ``message`` to ``host:port``."""
+        """Send ``message`` to ``address``, written as ``host:port``."""
         if self._transport is None or self._transport.is_closing():
             return
         host, _, port = address.rpartition(":")
--- a/boragegw/peers/tests/test_peer_contract.py
+++ b/boragegw/peers/tests/test_peer_contract.py
@@ -1,4 +1,4 @@
-"""Datagrams and signed requests among peers, good and bad."""
+"""Tests of datagrams, signed requests and membership among peers."""
 
 import dataclasses
 
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
-def test_message_survives_its_datagram(message):
+def test_datagram_round_trip(message):
     clock = utils.ManualClock()
     datagram = codec(clock).encode(message)
     sender, decoded = codec(clock, 2).decode(datagram)
@@ -54,7 +54,7 @@
     assert len(datagram) <= peers.DATAGRAM_LIMIT
 
 
-def spoiled(datagram):
+def corrupt_datagrams(datagram):
     yield "empty", b""
     yield "short", datagram[:10]
     yield "cut", datagram[:-1]
@@ -68,14 +68,14 @@
     clock = utils.ManualClock()
     datagram = codec(clock).encode(MESSAGES[0])
     receiver = codec(clock, 2)
-    for name, raw in spoiled(datagram):
+    for name, raw in corrupt_datagrams(datagram):
         with pytest.raises(peers.MalformedDatagramError):
             receiver.decode(raw)
             raise AssertionError(name)
     receiver.decode(datagram)
 
 
-def test_other_secret_is_foreign():
+def test_datagram_with_another_secret_is_rejected():
     clock = utils.ManualClock()
     datagram = codec(clock, secret=b"another secret!!").encode(MESSAGES[2])
     with pytest.raises(peers.MalformedDatagramError, match="MAC"):
@@ -83,7 +83,7 @@
 
 
 def test_replayed_datagram_is_dropped():
-    """An entry that has left is kept in view by somebody who repeats its heartbeat."""
+    """A replayed heartbeat must not keep an entry that has left in the member list."""
     clock = utils.ManualClock()
     sender, receiver = codec(clock), codec(clock, 2)
     datagrams = [sender.encode(MESSAGES[2]) for _ in range(100)]
@@ -94,7 +94,7 @@
             receiver.decode(old)
 
 
-def test_old_datagram_is_dropped_by_a_process_that_never_heard_its_sender():
+def test_old_datagram_from_an_unknown_sender_is_dropped():
     clock = utils.ManualClock()
     datagram = codec(clock).encode(MESSAGES[2])
     clock.advance(31.0)
@@ -112,7 +112,7 @@
     assert not signer.verify(1000.0, value, b"POST", b"/peer/sealed", b"body")
 
 
-def test_sealed_table_survives_its_transfer():
+def test_sealed_table_round_trip():
     outcomes = {
         "ran": (b"1" * 16, decisions.StoredAnswer(200, ((b"a", b"\xff"),), b"\x00")),
         "refused": (
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("raw", [b"", b"{}", b"[]", b'{"rows": 3}', b"\xff"])
-def test_damaged_table_is_refused(raw):
+def test_malformed_table_is_rejected(raw):
     with pytest.raises(peers.PeerError):
         peers.decode_sealed_table(raw)
 
@@ -139,10 +139,10 @@
 class TestMembership:
     policy = decisions.MembershipPolicy()
 
-    def test_an_old_beat_does_not_revive_a_silent_member(self):
-        """A dead entry stays in the list of entries and callers run into it.
+    def test_an_old_heartbeat_does_not_revive_a_silent_member(self):
+        """A failed entry must not stay in the list of entries that callers use.
 
-        Its last beat is told by one peer after another, each time as if new.
+        Its peers keep passing on its last heartbeat as if it were new.
         """
         section = blackboard.MembershipSection()
         self.policy.merge(section, member(), 0.0)
@@ -151,21 +151,21 @@
             self.policy.merge_beat(section, member().incarnation, 7, moment, 0.0)
         assert list(section.alive(3.5)) == []
 
-    def test_a_new_beat_heals_a_false_suspicion(self):
+    def test_a_new_heartbeat_clears_a_false_suspicion(self):
         section = blackboard.MembershipSection()
         self.policy.merge(section, member(), 0.0)
         assert list(section.alive(5.0)) == []
         assert self.policy.merge_beat(section, member().incarnation, 8, 5.0, 0.1)
         assert [m.beat for m in section.alive(5.0)] == [8]
 
-    def test_a_new_incarnation_retires_the_one_before(self):
+    def test_a_new_incarnation_replaces_the_previous_one(self):
         section = blackboard.MembershipSection()
         self.policy.merge(section, member(state=blackboard.MemberState.SERVING), 0.0)
         newer = member(incarnation=9, state=blackboard.MemberState.SERVING)
         self.policy.merge(section, newer, 0.5)
         assert [m.incarnation for m in section.serving(0.5)] == [9]
 
-    def test_the_table_has_a_cap(self):
+    def test_the_table_has_a_capacity_limit(self):
         policy = decisions.MembershipPolicy(capacity=3, forget=10.0)
         section = blackboard.MembershipSection()
         for number in range(5):
