--- a/boragegw/backends/_http.py
+++ b/boragegw/backends/_http.py
@@ -197,7 +197,7 @@
             raise _base.AttemptError(
                 _base.Failure.MISMATCH,
                 errors.Verdict.MAY_HAVE_RUN,
-                f"{attempt.vm.name}: response to another attempt",
+                f"{attempt.vm.name}: answer to another attempt",
             )
         now = self.clock.now()
         report = _reports.parse_report(
--- a/boragegw/peers/_http.py
+++ b/boragegw/peers/_http.py
@@ -116,8 +116,7 @@
         if messages.find_header(headers, FORWARD_HEADER) is None or verdict is None:
             await response.aclose()
             raise _base.PeerError(
-                f"{address}: status {response.status_code}, "
-                "not from the requested process",
+                f"{address}: status {response.status_code}, not from the process asked",
                 sent=True,
             )
         kept = [
