--- a/boragegw/backends/__init__.py
+++ b/boragegw/backends/__init__.py
@@ -8,8 +8,8 @@
     Failure,
 )
 from boragegw.backends._http import HttpBackendTransport
+from boragegw.backends._load_reports import format_report, parse_report
 from boragegw.backends._pool import ConnectionPool
-from boragegw.backends._reports import format_report, parse_report
 
 __all__ = [
     "Attempt",
--- a/boragegw/backends/_http.py
+++ b/boragegw/backends/_http.py
@@ -5,7 +5,7 @@
 import httpcore
 
 from boragegw import errors, messages
-from boragegw.backends import _base, _pool, _reports
+from boragegw.backends import _base, _load_reports, _pool
 from boragegw.messages import _headers
 
 NOT_RUN = errors.Verdict.NOT_RUN.value.encode()
@@ -200,7 +200,7 @@
                 f"{attempt.vm.name}: answer to another attempt",
             )
         now = self.clock.now()
-        report = _reports.parse_report(
+        report = _load_reports.parse_report(
             messages.find_header(headers, _headers.LOAD_HEADER), now
         )
         if messages.find_header(headers, _headers.VERDICT_HEADER) == NOT_RUN:
--- a/boragegw/peers/__init__.py
+++ b/boragegw/peers/__init__.py
@@ -1,13 +1,18 @@
 """Communication between entry processes: datagrams, forwarding, bulk transfers."""
 
-from boragegw.peers._authenticity import ReplayWindow, RequestSigner
+from boragegw.peers._authentication import ReplayWindow, RequestSigner
 from boragegw.peers._base import (
     ConfigurationBundle,
     KnownConfiguration,
     PeerError,
     PeerNetwork,
 )
-from boragegw.peers._codec import DATAGRAM_LIMIT, DatagramCodec, MalformedDatagramError
+from boragegw.peers._bulk_codec import decode_sealed_table, encode_sealed_table
+from boragegw.peers._datagram_codec import (
+    DATAGRAM_LIMIT,
+    DatagramCodec,
+    MalformedDatagramError,
+)
 from boragegw.peers._http import HttpPeerNetwork
 from boragegw.peers._messages import (
     BackendCount,
@@ -17,7 +22,6 @@
     Quarantine,
     Temperature,
 )
-from boragegw.peers._tables import decode_sealed_table, encode_sealed_table
 from boragegw.peers._udp import UdpEndpoint
 
 __all__ = [
--- a/boragegw/peers/_codec.py
+++ b/boragegw/peers/_datagram_codec.py
@@ -7,7 +7,7 @@
 import capnp
 
 from boragegw import blackboard
-from boragegw.peers import _authenticity, _messages
+from boragegw.peers import _authentication, _messages
 
 capnp.remove_import_hook()
 _SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("messages.capnp")))
@@ -140,11 +140,11 @@
         self.incarnation = incarnation
         self.clock = clock
         self._sequence = 0
-        self._window = _authenticity.ReplayWindow()
+        self._window = _authentication.ReplayWindow()
 
     def _mac(self, payload):
         digest = hmac.digest(self.secret, b"datagram" + payload, hashlib.sha256)
-        return digest[: _authenticity.MAC_BYTES]
+        return digest[: _authentication.MAC_BYTES]
 
     def encode(self, message):
         """Return the datagram for ``message``."""
@@ -163,8 +163,8 @@
         :raises MalformedDatagramError: if the MAC is wrong, or the datagram is
             invalid, too old or replayed.
         """
-        payload = datagram[: -_authenticity.MAC_BYTES]
-        mac = datagram[-_authenticity.MAC_BYTES :]
+        payload = datagram[: -_authentication.MAC_BYTES]
+        mac = datagram[-_authentication.MAC_BYTES :]
         if not payload or not hmac.compare_digest(mac, self._mac(payload)):
             raise MalformedDatagramError("wrong MAC")
         try:
--- a/boragegw/peers/_http.py
+++ b/boragegw/peers/_http.py
@@ -5,7 +5,7 @@
 import httpx
 
 from boragegw import errors, messages
-from boragegw.peers import _base, _tables
+from boragegw.peers import _base, _bulk_codec
 
 SIGNATURE_HEADER = b"boragegw-peer-signature"
 FORWARD_HEADER = b"boragegw-forward"
@@ -153,15 +153,15 @@
 
     async def fetch_configuration(self, address, known):
         """Return a peer's configuration bundle."""
-        content = _tables.encode_known_configuration(known)
-        return _tables.decode_bundle(
+        content = _bulk_codec.encode_known_configuration(known)
+        return _bulk_codec.decode_bundle(
             await self._bulk_request("POST", address, CONFIGURATION_PATH, content)
         )
 
     async def send_sealed_table(self, address, sealed):
         """Send a sealed key table to a peer."""
         await self._bulk_request(
-            "POST", address, SEALED_PATH, _tables.encode_sealed_table(sealed)
+            "POST", address, SEALED_PATH, _bulk_codec.encode_sealed_table(sealed)
         )
 
     async def aclose(self):
--- a/boragegw/peers/_udp.py
+++ b/boragegw/peers/_udp.py
@@ -3,7 +3,7 @@
 import asyncio
 import logging
 
-from boragegw.peers import _codec
+from boragegw.peers import _datagram_codec
 
 logger = logging.getLogger(__name__)
 
@@ -34,7 +34,7 @@
         self.counters["peers.bytes_received"] += len(data)
         try:
             sender, message = self.codec.decode(data)
-        except _codec.MalformedDatagramError as error:
+        except _datagram_codec.MalformedDatagramError as error:
             self.counters["peers.datagrams_dropped"] += 1
             logger.debug("datagram dropped: %s", error)
             return
--- a/boragegw/peers/messages.capnp
+++ b/boragegw/peers/messages.capnp
@@ -1,5 +1,5 @@
 @0xd3a1c8f0b5e27946;
-# Datagrams between entry processes. A MAC follows each message; see _codec.py.
+# Datagrams between entry processes. A MAC follows each message; see _datagram_codec.py.
 
 struct Member {
   incarnation @0 :UInt64;
--- a/boragegw/server/_peer_application.py
+++ b/boragegw/server/_peer_application.py
@@ -6,7 +6,7 @@
 import litestar.types
 
 from boragegw import errors, messages, peers
-from boragegw.peers import _http, _tables
+from boragegw.peers import _bulk_codec, _http
 
 logger = logging.getLogger(__name__)
 
@@ -101,9 +101,9 @@
         raw = await self._signed_body(scope, receive, send, KNOWN_LIMIT)
         if raw is not None:
             bundle = self.node.configuration.build_bundle(
-                _tables.decode_known_configuration(raw)
+                _bulk_codec.decode_known_configuration(raw)
             )
-            await _reply(send, 200, _tables.encode_bundle(bundle))
+            await _reply(send, 200, _bulk_codec.encode_bundle(bundle))
 
     async def _sealed(self, scope, receive, send):
         raw = await self._signed_body(scope, receive, send, SEALED_LIMIT)
