--- a/boragegw/controllers/_configuration.py
+++ b/boragegw/controllers/_configuration.py
@@ -180,7 +180,7 @@
 
     async def _watch_configuration_once(self):
         await self._acquire_read()
-        timeout = min(self.watch_timeout, self.reader_policy.patience / 2)
+        timeout = min(self.watch_timeout, self.reader_policy.confirmation_timeout / 2)
         revision = self.board.configuration.revision
         await self.handle_head(await self.source.watch_head(revision, timeout))
 
--- a/boragegw/decisions/_outlier_detection.py
+++ b/boragegw/decisions/_outlier_detection.py
@@ -1,16 +1,17 @@
-"""Demotion of slowed backend servers and ejection of those that fail fast."""
+"""Outlier detection: demotes and ejects backend servers that fail or shed load."""
 
 from boragegw import utils
 
 
-class SlowdownPolicy(utils.Parameterized):
-    """Learns latencies; ejects on failures in a row.
+class OutlierDetectionPolicy(utils.Parameterized):
+    """Tracks mean latencies and ejects backend servers after consecutive failures.
 
-    :param smoothing: weight of a new latency in the running mean.
+    :param smoothing: weight of a new latency in the moving average.
     :param failures: consecutive failures after which a backend server is ejected.
-    :param ejection: first ejection in seconds; doubled with each further failure.
-    :param ejection_limit: longest ejection in seconds.
-    :param refusal_pause: seconds of demotion after a backend server sheds a request.
+    :param ejection: seconds of the first ejection, doubled with each further failure;
+        also seconds of demotion after a failure that does not eject.
+    :param ejection_limit: maximum duration of an ejection in seconds.
+    :param refusal_demotion: seconds of demotion after a backend server sheds a request.
     """
 
     _parameter_constraints = {
@@ -18,7 +19,7 @@
         "failures": utils.Interval(int, 1, 100),
         "ejection": utils.Interval(float, 0, 60),
         "ejection_limit": utils.Interval(float, 0, 600),
-        "refusal_pause": utils.Interval(float, 0, 10),
+        "refusal_demotion": utils.Interval(float, 0, 10),
     }
 
     def __init__(
@@ -27,40 +28,40 @@
         failures=2,
         ejection=0.25,
         ejection_limit=8.0,
-        refusal_pause=0.02,
+        refusal_demotion=0.02,
     ):
         self.smoothing = smoothing
         self.failures = failures
         self.ejection = ejection
         self.ejection_limit = ejection_limit
-        self.refusal_pause = refusal_pause
+        self.refusal_demotion = refusal_demotion
 
     def observe_success(self, backend, service, latency):
-        """Learn the time to an answer's head."""
+        """Record the latency in seconds until the head of an answer."""
         self._check_params()
         backend.failures = 0
         backend.latency = self._smoothed(backend.latency, latency, self.smoothing)
         service.latency = self._smoothed(service.latency, latency, 0.02)
 
     def observe_failure(self, backend, now):
-        """Count a failure.
+        """Count a failure; demote or eject the backend server.
 
-        Guards against fail-fast: a backend server that fails at once has nothing in
-        flight and so looks like the least loaded one, and would draw all the work.
+        Guards against servers that fail fast. Such a server has nothing in flight,
+        looks like the least loaded one and would attract all requests.
         """
         self._check_params()
         backend.failures += 1
         excess = backend.failures - self.failures
         if excess >= 0:
-            length = min(self.ejection * 2 ** min(excess, 10), self.ejection_limit)
-            backend.ejected_until = now + length
+            duration = min(self.ejection * 2 ** min(excess, 10), self.ejection_limit)
+            backend.ejected_until = now + duration
         else:
             backend.demoted_until = now + self.ejection
 
     def observe_refusal(self, backend, now):
-        """Demote for a moment a backend server that sheds load."""
+        """Demote a backend server that sheds load for a short time."""
         self._check_params()
-        backend.demoted_until = max(backend.demoted_until, now + self.refusal_pause)
+        backend.demoted_until = max(backend.demoted_until, now + self.refusal_demotion)
 
     @staticmethod
     def _smoothed(mean, value, weight):
