--- a/boragegw/backends/_stream.py
+++ b/boragegw/backends/_stream.py
@@ -56,7 +56,7 @@
         self.writer.transport.abort()
 
     async def start_tls(self, ssl_context, server_hostname=None, timeout=None):
-        """Raise an error: traffic within a data centre is not encrypted."""
+        """Raise an error: backend servers use plain text within the data centre."""
         raise ssl.SSLError("TLS towards backend servers is not supported")
 
     def get_extra_info(self, info):
