--- a/boragegw/server/_node.py
+++ b/boragegw/server/_node.py
@@ -232,7 +232,7 @@
 
     def _configuration_changed(self):
         self.services.refresh()
-        self.transport.set_sharers(sum(1 for _ in self.board.fleet.entries()))
+        self.transport.set_entry_count(sum(1 for _ in self.board.fleet.entries()))
         self.membership.broadcast_heartbeat()
 
     @property
@@ -365,7 +365,7 @@
 
     async def _hand_table(self, member, table):
         try:
-            await self.network.hand_over(member.peer_address, table)
+            await self.network.send_sealed_table(member.peer_address, table)
         except peers.PeerError as error:
             logger.warning("key table not handed over: %s", error)
 
