--- a/boragegw/entry/__init__.py
+++ b/boragegw/entry/__init__.py
@@ -1,21 +1,21 @@
-"""A request's way through one entry process."""
+"""Request handling of one entry process, from the caller to a backend server."""
 
 from boragegw.entry._application import CallerApplication
-from boragegw.entry._carrier import Carrier
-from boragegw.entry._entries import EntriesAnswer, EntryDirectory
-from boragegw.entry._executor import Executor, Policies
-from boragegw.entry._home import Home
+from boragegw.entry._carrier import RequestRouter
+from boragegw.entry._entries import EntriesResponse, EntryDirectory
+from boragegw.entry._executor import ExecutionPolicies, Executor
+from boragegw.entry._home import AtMostOnceExecutor
 from boragegw.entry._tracing import NullTracer, Span, Tracer
 
 __all__ = [
+    "AtMostOnceExecutor",
     "CallerApplication",
-    "Carrier",
-    "EntriesAnswer",
+    "EntriesResponse",
     "EntryDirectory",
+    "ExecutionPolicies",
     "Executor",
-    "Home",
     "NullTracer",
-    "Policies",
+    "RequestRouter",
     "Span",
     "Tracer",
 ]
--- a/boragegw/entry/_application.py
+++ b/boragegw/entry/_application.py
@@ -29,7 +29,7 @@
 class CallerApplication:
     """Adapts ASGI to the carrier.
 
-    :param carrier: the :class:`Carrier`.
+    :param carrier: the :class:`RequestRouter`.
     :param directory: the :class:`EntryDirectory`.
     :param header_bytes: most bytes of headers accepted.
     """
--- a/boragegw/entry/_carrier.py
+++ b/boragegw/entry/_carrier.py
@@ -8,10 +8,10 @@
 logger = logging.getLogger(__name__)
 
 
-class Carrier:
+class RequestRouter:
     """Carries requests from callers and, for keys whose home is here, from peers.
 
-    :param home: the :class:`Home` of this process's keys.
+    :param home: the :class:`AtMostOnceExecutor` of this process's keys.
     :param executor: the :class:`Executor`.
     :param leases: a :class:`~boragegw.decisions.LeaseAuthority`.
     :param membership: the membership controller; holds sealed tables too.
--- a/boragegw/entry/_entries.py
+++ b/boragegw/entry/_entries.py
@@ -6,7 +6,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EntriesAnswer:
+class EntriesResponse:
     """The answer to ``GET /v1/entries``.
 
     :param entries: addresses in order of preference.
@@ -42,7 +42,7 @@
         self.keep_for = keep_for
 
     def lookup(self, service_name, caller, data_centre=""):
-        """Return the :class:`EntriesAnswer` for a caller.
+        """Return the :class:`EntriesResponse` for a caller.
 
         :param caller: stable text that tells callers apart, such as their address.
         :raises RequestError: for an unknown service, or with no entry in sight.
@@ -68,7 +68,7 @@
         lease = decisions.Lease(
             home.incarnation, home.peer_address, wall, wall + self.lease_duration
         )
-        return EntriesAnswer(
+        return EntriesResponse(
             service=service_name,
             entries=[member.caller_address for member in members],
             keep_for_ms=int(self.keep_for * 1000),
--- a/boragegw/entry/_executor.py
+++ b/boragegw/entry/_executor.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Policies:
+class ExecutionPolicies:
     """The decisions that shape an execution."""
 
     retries: decisions.RetryPolicy
@@ -54,7 +54,7 @@
 class Executor:
     """Carries requests to backend servers.
 
-    :param policies: a :class:`Policies`.
+    :param policies: a :class:`ExecutionPolicies`.
     :param on_quarantine: called with (fingerprint, seconds) when one is found.
     """
 
--- a/boragegw/entry/_home.py
+++ b/boragegw/entry/_home.py
@@ -22,7 +22,7 @@
     first_waits: bool = True
 
 
-class Home:
+class AtMostOnceExecutor:
     """Admits keys, runs them in tasks of their own, and replays their outcomes.
 
     :param keys: a :class:`~boragegw.decisions.KeyTable`.
--- a/boragegw/entry/tests/test_history.py
+++ b/boragegw/entry/tests/test_history.py
@@ -154,7 +154,7 @@
         REPLACEMENTS,
     ),
     "resend run by a non-home": (
-        entry.Carrier,
+        entry.RequestRouter,
         "_at_other_home",
         _run_here,
         "ran",
--- a/boragegw/server/_node.py
+++ b/boragegw/server/_node.py
@@ -169,7 +169,7 @@
             parameters.table_limit, parameters.retention, parameters.stored_bytes
         )
         self.leases = decisions.LeaseAuthority(secret)
-        policies = entry.Policies(
+        policies = entry.ExecutionPolicies(
             decisions.RetryPolicy(), self.hedging, decisions.QuarantinePolicy()
         )
         self.executor = entry.Executor(
@@ -182,7 +182,7 @@
             self.tasks,
             self.tracer,
         )
-        self.home = entry.Home(
+        self.home = entry.AtMostOnceExecutor(
             self.board,
             self.clock,
             self.keys,
@@ -190,7 +190,7 @@
             self.executions,
             parameters.answer_limit,
         )
-        self.carrier = entry.Carrier(
+        self.carrier = entry.RequestRouter(
             self.board,
             self.clock,
             self.home,
