--- a/boragegw/entry/_application.py
+++ b/boragegw/entry/_application.py
@@ -91,7 +91,7 @@
     async def _serve(self, scope, connection, send, request_id):
         try:
             request = self._parse(scope, connection, request_id)
-            answer = await self.carrier.carry(request)
+            answer = await self.carrier.handle(request)
         except errors.RequestError as error:
             answer = messages.Response.from_error(error, request_id)
         if connection.gone:
--- a/boragegw/entry/_carrier.py
+++ b/boragegw/entry/_carrier.py
@@ -41,7 +41,7 @@
         self.request_limit = request_limit
         self.tracer = tracer or _tracing.NullTracer()
 
-    async def carry(self, request):
+    async def handle(self, request):
         """Carry a caller's request; every failure ends as an answer."""
         span = self.tracer.start("entry", request.trace, service=request.service)
         request.trace = span.traceparent
@@ -190,7 +190,7 @@
         _home.check_fingerprint(request, admission.record.fingerprint)
         return _home.answer_of(admission.record.outcome)
 
-    async def carry_forwarded(self, incarnation, request):
+    async def handle_forwarded(self, incarnation, request):
         """Carry a request that a peer has forwarded to ``incarnation``.
 
         :returns: the answer, or ``None`` if this process neither is that incarnation
--- a/boragegw/server/_peer_application.py
+++ b/boragegw/server/_peer_application.py
@@ -91,7 +91,7 @@
             retries_left=left,
             trace=messages.find_header(scope["headers"], messages.TRACEPARENT_HEADER),
         )
-        answer = await self.node.carrier.carry_forwarded(incarnation, request)
+        answer = await self.node.carrier.handle_forwarded(incarnation, request)
         if answer is None:
             await _reply(send, 421)
             return
