--- a/boragegw/entry/_application.py
+++ b/boragegw/entry/_application.py
@@ -1,4 +1,4 @@
-"""The caller-facing HTTP interface, by litestar."""
+"""The HTTP interface for callers, an ASGI application built with Litestar."""
 
 import asyncio
 import dataclasses
@@ -15,11 +15,15 @@
 logger = logging.getLogger(__name__)
 
 SERVICES_PATH = "/v1/services"
+#: Largest value accepted in the deadline header.
 MAX_DEADLINE_MS = 3_600_000
-DEFAULT_DEADLINE = 10.0
+#: Deadline of requests for unknown services that do not set one.
+DEFAULT_DEADLINE_SECONDS = 10.0
+#: Retries left for requests that do not limit them.
 DEFAULT_RETRIES = 2
-UNKNOWN_SERVICE_BODY_LIMIT = 1 << 20
-SEND_TIMEOUT = 30.0
+UNKNOWN_SERVICE_BODY_LIMIT_BYTES = 1 << 20
+#: Longest wait for a caller to accept the next chunk of a response body.
+SEND_TIMEOUT_SECONDS = 30.0
 
 
 def _bad_request(detail):
@@ -27,19 +31,19 @@
 
 
 class CallerApplication:
-    """Adapts ASGI to the carrier.
+    """Translates between ASGI and the :class:`RequestRouter`.
 
-    :param carrier: the :class:`RequestRouter`.
+    :param router: the :class:`RequestRouter`.
     :param directory: the :class:`EntryDirectory`.
-    :param header_bytes: most bytes of headers accepted.
+    :param max_header_bytes: most bytes accepted in the names and values of all headers.
     """
 
-    def __init__(self, board, clock, carrier, directory, header_bytes=32_768):
+    def __init__(self, board, clock, router, directory, max_header_bytes=32_768):
         self.board = board
         self.clock = clock
-        self.carrier = carrier
+        self.router = router
         self.directory = directory
-        self.header_bytes = header_bytes
+        self.max_header_bytes = max_header_bytes
 
     def build(self):
         """Return the ASGI application."""
@@ -69,11 +73,11 @@
         caller = request.headers.get("boragegw-caller")
         if caller is None:
             caller = request.client.host if request.client else ""
-        answer = self.directory.lookup(service, caller, data_centre)
-        return litestar.Response(dataclasses.asdict(answer))
+        response = self.directory.lookup(service, caller, data_centre)
+        return litestar.Response(dataclasses.asdict(response))
 
     async def serve(self, scope, receive, send):
-        """Serve one request for ``/v1/services/NAME/PATH``."""
+        """Serve one ASGI request to ``/v1/services/NAME/PATH``."""
         request_id = secrets.token_hex(8)
         connection = _connection.CallerConnection(receive)
         lifecycle = self.board.lifecycle
@@ -81,7 +85,7 @@
         try:
             await self._serve(scope, connection, send, request_id)
         except asyncio.CancelledError:
-            if not connection.absorb_cancellation():
+            if not connection.suppress_cancellation():
                 raise
             self.board.counters["requests.caller_gone"] += 1
         finally:
@@ -90,36 +94,36 @@
 
     async def _serve(self, scope, connection, send, request_id):
         try:
-            request = self._parse(scope, connection, request_id)
-            answer = await self.carrier.handle(request)
+            request = self._parse_request(scope, connection, request_id)
+            response = await self.router.handle(request)
         except errors.RequestError as error:
-            answer = messages.Response.from_error(error, request_id)
-        if connection.gone:
-            await answer.aclose()
+            response = messages.Response.from_error(error, request_id)
+        if connection.disconnected:
+            await response.aclose()
             return
-        await self._send(answer, send, scope["method"])
+        await self._send_response(response, send, scope["method"])
 
-    def _parse(self, scope, connection, request_id):
+    def _parse_request(self, scope, connection, request_id):
         """Return the :class:`~boragegw.messages.Request` of an ASGI scope.
 
-        :raises RequestError: for what no caller may send.
+        :raises RequestError: if the request is invalid or its body too large.
         """
         headers = scope["headers"]
-        if sum(len(k) + len(v) for k, v in headers) > self.header_bytes:
-            raise _bad_request(f"headers above {self.header_bytes} bytes")
+        if sum(len(k) + len(v) for k, v in headers) > self.max_header_bytes:
+            raise _bad_request(f"headers exceed {self.max_header_bytes} bytes")
         service, target = _split_target(scope)
         deadline = self._deadline(headers, service)
         key = [v for k, v in headers if k == messages.IDEMPOTENCY_KEY_HEADER]
         if len(key) > 1:
-            raise _bad_request("more than one Idempotency-Key")
-        retries = _whole_number(headers, messages.RETRIES_LEFT_HEADER, 0, 10)
+            raise _bad_request("expected at most one Idempotency-Key header")
+        retries = _integer_header(headers, messages.RETRIES_LEFT_HEADER, 0, 10)
         length = messages.find_header(headers, b"content-length")
         chunked = messages.find_header(headers, b"transfer-encoding") is not None
         has_body = chunked or (length is not None and length != b"0")
-        limits = self._body_limits(service, scope["method"], target)
-        if length is not None and int(length) > limits:
+        body_limit = self._body_limit(service, scope["method"], target)
+        if length is not None and int(length) > body_limit:
             raise errors.RequestError.not_run(
-                errors.Code.BODY_TOO_LARGE, f"body above {limits} bytes"
+                errors.Code.BODY_TOO_LARGE, f"body exceeds {body_limit} bytes"
             )
         return messages.Request(
             request_id=request_id,
@@ -127,83 +131,93 @@
             method=scope["method"],
             target=target,
             headers=list(headers),
-            body=connection.body(has_body, limits),
+            body=connection.body(has_body, body_limit),
             deadline=deadline,
             key=key[0].decode("latin1") if key else "",
             retries_left=DEFAULT_RETRIES if retries is None else retries,
             trace=messages.find_header(headers, messages.TRACEPARENT_HEADER),
         )
 
-    def _body_limits(self, service, method, target):
+    def _body_limit(self, service, method, target):
         settings = self.board.configuration.services.get(service)
         if settings is None:
-            return UNKNOWN_SERVICE_BODY_LIMIT
+            return UNKNOWN_SERVICE_BODY_LIMIT_BYTES
         if settings.is_idempotent(method, target.partition("?")[0]):
             return settings.body_limit
         return settings.non_idempotent_body_limit
 
     def _deadline(self, headers, service):
-        stated = _whole_number(headers, messages.DEADLINE_HEADER, 1, MAX_DEADLINE_MS)
+        timeout_ms = _integer_header(
+            headers, messages.DEADLINE_HEADER, 1, MAX_DEADLINE_MS
+        )
         settings = self.board.configuration.services.get(service)
-        if stated is not None:
-            remaining = stated / 1000
+        if timeout_ms is not None:
+            remaining = timeout_ms / 1000
         else:
-            remaining = DEFAULT_DEADLINE if settings is None else settings.deadline
+            remaining = (
+                DEFAULT_DEADLINE_SECONDS if settings is None else settings.deadline
+            )
         return self.clock.now() + remaining
 
-    async def _send(self, answer, send, method):
-        """Send an answer; one that breaks off never looks whole.
+    async def _send_response(self, response, send, method):
+        """Send a response; the caller can detect a truncated one.
 
-        Guards against a truncated answer taken for a whole one: without the last
-        body event the server closes the caller's connection, so the caller sees the
-        missing end (of the stated length or of the chunks).
+        The last body event is omitted if the response is truncated. The server then
+        closes the caller's connection before the end that Content-Length or the chunked
+        encoding announces, so the caller cannot take the part for the whole.
         """
-        headers = list(answer.headers)
+        headers = list(response.headers)
         if _entries.is_draining(self.board):
             headers.append((b"connection", b"close"))
         start = {
             "type": "http.response.start",
-            "status": answer.status,
+            "status": response.status,
             "headers": headers,
         }
         try:
-            await self._send_parts(answer, send, start, method == "HEAD")
+            await self._send_body(response, send, start, method == "HEAD")
         except errors.TruncatedResponseError as error:
             self.board.counters["requests.broken_off"] += 1
-            logger.warning("answer broken off: %s", error)
+            logger.warning("response to the caller truncated: %s", error)
         except TimeoutError:
             self.board.counters["requests.slow_caller"] += 1
         finally:
-            await answer.aclose()
+            await response.aclose()
 
-    async def _send_parts(self, answer, send, start, head_only):
-        """Send the start with the first chunk at hand, then one chunk at a time."""
+    async def _send_body(self, response, send, start, head_only):
+        """Send the start of the response, then its body with a delay of one chunk.
+
+        The delay lets the last chunk be sent as the last body event.
+        """
         pending = None
         await send(start)
-        async for chunk in answer.body:
+        async for chunk in response.body:
             if pending is not None and not head_only:
                 await self._send_chunk(send, pending, True)
             pending = chunk
         await self._send_chunk(send, b"" if head_only else pending or b"", False)
 
     @staticmethod
-    async def _send_chunk(send, chunk, more):
-        """Send a chunk; a caller that does not read for long loses the answer.
+    async def _send_chunk(send, chunk, more_body):
+        """Send a chunk; the response is aborted if the caller does not read in time.
 
-        Guards against slow callers that hold a backend server's place for ever.
+        A caller that stops reading would otherwise use the capacity of a backend
+        server forever.
         """
-        async with asyncio.timeout(SEND_TIMEOUT):
-            await send({"type": "http.response.body", "body": chunk, "more_body": more})
+        async with asyncio.timeout(SEND_TIMEOUT_SECONDS):
+            await send(
+                {"type": "http.response.body", "body": chunk, "more_body": more_body}
+            )
 
 
 def _split_target(scope):
-    """Return service and target of ``/v1/services/NAME/PATH``."""
-    raw = scope.get("raw_path") or scope["path"].encode()
+    """Return the service name and the request target of an ASGI scope."""
+    raw_path = scope.get("raw_path") or scope["path"].encode()
     try:
-        path = raw.decode("ascii")
+        path = raw_path.decode("ascii")
         query = scope["query_string"].decode("ascii")
     except UnicodeDecodeError as error:
-        raise _bad_request("path or query is not ASCII") from error
+        raise _bad_request("path or query contains non-ASCII characters") from error
     prefix = SERVICES_PATH + "/"
     if not path.startswith(prefix):
         raise _bad_request(f"expected {prefix}NAME/PATH")
@@ -212,21 +226,24 @@
     return service, f"{target}?{query}" if query else target
 
 
-def _whole_number(headers, name, low, high):
-    """Return the whole number in a header, or ``None`` if it is absent."""
+def _integer_header(headers, name, minimum, maximum):
+    """Return the integer in a header, or ``None`` if it is absent.
+
+    :raises RequestError: unless it is within [``minimum``, ``maximum``].
+    """
     value = messages.find_header(headers, name)
     if value is None:
         return None
-    if value.isdigit() and len(value) <= 10 and low <= int(value) <= high:
+    if value.isdigit() and len(value) <= 10 and minimum <= int(value) <= maximum:
         return int(value)
     raise _bad_request(
-        f"{name.decode()}: {value.decode('latin1')!r}, expected a whole number in "
-        f"[{low}, {high}]"
+        f"{name.decode()}: {value.decode('latin1')!r}, expected an integer in "
+        f"[{minimum}, {maximum}]"
     )
 
 
 def problem_response(request, exception):
-    """Return the problem document for an exception outside the carrier."""
+    """Return the problem document for an exception outside the request router."""
     error = exception
     if isinstance(exception, litestar.exceptions.HTTPException):
         not_found = exception.status_code in (404, 405)
@@ -238,8 +255,8 @@
             errors.Code.INTERNAL, "unexpected error", errors.Verdict.MAY_HAVE_RUN
         )
     problem = errors.problem_document(error)
-    skipped = (b"content-type", b"content-length")
-    headers = {k.decode(): v.decode() for k, v in problem.headers if k not in skipped}
+    excluded = (b"content-type", b"content-length")
+    headers = {k.decode(): v.decode() for k, v in problem.headers if k not in excluded}
     return litestar.Response(
         problem.body,
         status_code=problem.status,
--- a/boragegw/entry/_tracing.py
+++ b/boragegw/entry/_tracing.py
@@ -1,15 +1,15 @@
-"""The interface to traces: a span for each hop."""
+"""The interface to distributed tracing: one span for each step of a request."""
 
 import abc
 
 
 class Span(abc.ABC):
-    """One hop of a request."""
+    """One step of a request."""
 
     @property
     @abc.abstractmethod
     def traceparent(self):
-        """The span's context as the bytes of a ``traceparent`` header, or ``None``."""
+        """The span's context as the value of a ``traceparent`` header, or ``None``."""
 
     @abc.abstractmethod
     def end(self, **attributes):
@@ -17,15 +17,18 @@
 
 
 class Tracer(abc.ABC):
-    """Starts spans."""
+    """Starts the spans of requests."""
 
     @abc.abstractmethod
     def start(self, name, parent, **attributes):
-        """Start a span under the ``traceparent`` bytes ``parent``, or ``None``."""
+        """Start a span.
 
+        :param parent: value of the parent's ``traceparent`` header, or ``None``.
+        """
 
-class _PassedSpan(Span):
-    """Passes its parent's context on and records nothing."""
+
+class _NonRecordingSpan(Span):
+    """Propagates the parent's context and records nothing."""
 
     __slots__ = ("_parent",)
 
@@ -41,8 +44,8 @@
 
 
 class NullTracer(Tracer):
-    """Records nothing; contexts pass through."""
+    """Records nothing and propagates the caller's trace context."""
 
     def start(self, name, parent, **attributes):
         """Return a span that records nothing."""
-        return _PassedSpan(parent)
+        return _NonRecordingSpan(parent)
--- a/boragegw/entry/tests/test_caller_contract.py
+++ b/boragegw/entry/tests/test_caller_contract.py
@@ -1,4 +1,4 @@
-"""The callers' interface over real sockets, cases in tables."""
+"""Tests of the HTTP interface for callers over real sockets."""
 
 import asyncio
 import hashlib
@@ -49,14 +49,14 @@
 
 
 async def raw_exchange(address, content):
-    """Send bytes and return all that comes back until the other end closes."""
+    """Send bytes and return all bytes received until the server closes."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(content)
     async with asyncio.timeout(5):
-        answer = await reader.read()
+        response = await reader.read()
     writer.close()
-    return answer
+    return response
 
 
 PATH = "/v1/services/filing"
@@ -145,14 +145,14 @@
         async with httpx.AsyncClient(trust_env=False) as client:
             for name, case in REFUSALS.items():
                 method, path, headers, content, status, code = case
-                answer = await client.request(
+                response = await client.request(
                     method, f"http://{address}{path}", headers=headers, content=content
                 )
-                assert answer.status_code == status, (name, answer.text)
-                assert answer.headers["boragegw-verdict"] == "not-run", name
-                problem = answer.json()
+                assert response.status_code == status, (name, response.text)
+                assert response.headers["boragegw-verdict"] == "not-run", name
+                problem = response.json()
                 assert problem["code"] == code, name
-                assert answer.headers["content-type"] == "application/problem+json"
+                assert response.headers["content-type"] == "application/problem+json"
         return list(fleet.runs)
 
     assert with_fleet(tmp_path, scenario) == []
@@ -180,25 +180,25 @@
     async def scenario(fleet):
         address = fleet.entries["entry-1"].caller_address
         for name, content in MALFORMED.items():
-            answer = await raw_exchange(address, content)
-            assert answer.startswith(b"HTTP/1.1 400"), (name, answer)
-            problem = json.loads(answer.partition(b"\r\n\r\n")[2])
+            response = await raw_exchange(address, content)
+            assert response.startswith(b"HTTP/1.1 400"), (name, response)
+            problem = json.loads(response.partition(b"\r\n\r\n")[2])
             assert problem["verdict"] == "not-run", name
         return list(fleet.runs)
 
     assert with_fleet(tmp_path, scenario) == []
 
 
-def test_internal_headers_do_not_cross(tmp_path):
-    """A caller could claim an attempt id or a verdict and have it believed."""
-    seen = {}
+def test_internal_headers_are_not_forwarded(tmp_path):
+    """A caller must not be able to forge an attempt id or a verdict."""
+    received_headers = {}
 
     async def scenario(fleet):
         for backend in fleet.backends.values():
             original = backend._admit
 
             async def spy(exchange, scope, headers, body, original=original):
-                seen.update(headers)
+                received_headers.update(headers)
                 await original(exchange, scope, headers, body)
 
             backend._admit = spy
@@ -212,25 +212,25 @@
         }
         return await caller.send("filing", "GET", "/x", headers=headers)
 
-    answer = with_fleet(tmp_path, scenario)
-    assert answer.status == 200
-    assert seen[b"boragegw-attempt"] != b"forged"
-    assert b"boragegw-verdict" not in seen
-    assert b"x-private" not in seen
-    assert seen[b"x-public"] == b"2"
-    assert 0 < int(seen[b"boragegw-deadline-ms"]) <= 3000
+    response = with_fleet(tmp_path, scenario)
+    assert response.status == 200
+    assert received_headers[b"boragegw-attempt"] != b"forged"
+    assert b"boragegw-verdict" not in received_headers
+    assert b"x-private" not in received_headers
+    assert received_headers[b"x-public"] == b"2"
+    assert 0 < int(received_headers[b"boragegw-deadline-ms"]) <= 3000
 
 
-def test_resend_to_any_entry_gets_the_stored_answer(tmp_path):
+def test_resend_to_any_entry_gets_the_stored_response(tmp_path):
     async def scenario(fleet):
         caller = fleet.caller("c")
         key = await caller.new_key("filing")
-        answers = [
+        responses = [
             await caller.send("filing", "POST", "/returns/1", b"a", key, at=at)
             for at in (0, 1, 2)
         ]
         changed = await caller.send("filing", "POST", "/returns/1", b"b", key, at=1)
-        stolen = await caller.send(
+        other_caller = await caller.send(
             "filing",
             "POST",
             "/returns/1",
@@ -238,31 +238,31 @@
             key,
             headers={"authorization": "Bearer other"},
         )
-        return answers, changed, stolen, list(fleet.runs)
+        return responses, changed, other_caller, list(fleet.runs)
 
-    answers, changed, stolen, runs = with_fleet(tmp_path, scenario)
-    assert [answer.status for answer in answers] == [200, 200, 200]
-    assert len({answer.body for answer in answers}) == 1
+    responses, changed, other_caller, runs = with_fleet(tmp_path, scenario)
+    assert [response.status for response in responses] == [200, 200, 200]
+    assert len({response.body for response in responses}) == 1
     assert len(runs) == 1
-    for refused in (changed, stolen):
+    for refused in (changed, other_caller):
         assert (refused.status, refused.code) == (422, "key-reused")
 
 
 def test_home_killed_means_may_have_run_and_no_second_run(tmp_path):
-    """A filer sends again after an entry has died; the return must not run twice.
+    """A resend after a crash of its home entry must not run the request again.
 
-    The first send ran and its answer was lost with the process that knew of it.
+    The first send ran, but the record of it was lost with the process.
     """
 
     async def scenario(fleet):
         caller = fleet.caller("c")
-        kept = await caller.entries("filing")
+        entries_response = await caller.entries("filing")
         key = await caller.new_key("filing")
         await caller.send("filing", "POST", "/returns/1", b"a", key)
         home = next(
             process
             for process in fleet.entries.values()
-            if process.caller_address == kept["entries"][0]
+            if process.caller_address == entries_response["entries"][0]
         )
         await home.kill()
         resend = await caller.send("filing", "POST", "/returns/1", b"a", key, at=1)
@@ -275,9 +275,9 @@
 
 
 def test_broken_download_is_resumed_without_the_caller_noticing(tmp_path):
-    """An engineer's archive stops half-way when a backend server goes away.
+    """A download must complete although its backend server fails half-way.
 
-    The rest is fetched from another server by Range, checked by entity tag.
+    The rest is fetched from another server with a Range request and an entity tag.
     """
     content = bytes(range(256)) * 2000
 
@@ -286,17 +286,17 @@
             backend.downloads["/archive"] = content
             backend.faults.truncate = 1
         caller = fleet.caller("c")
-        answer = await caller.send("filing", "GET", "/archive")
+        response = await caller.send("filing", "GET", "/archive")
         counters = [p.node.board.counters for p in fleet.entries.values()]
-        return answer, sum(c["requests.resumed"] for c in counters)
+        return response, sum(c["requests.resumed"] for c in counters)
 
-    answer, resumed = with_fleet(tmp_path, scenario)
-    assert answer.body == content
+    response, resumed = with_fleet(tmp_path, scenario)
+    assert response.body == content
     assert resumed >= 1
 
 
-def test_truncated_answer_is_never_whole(tmp_path):
-    """An accountant reads half a status page as if it were all of it."""
+def test_truncated_response_is_detected_by_the_caller(tmp_path):
+    """A caller must not take a truncated response for a complete one."""
 
     async def scenario(fleet):
         for backend in fleet.backends.values():
@@ -308,10 +308,10 @@
     with_fleet(tmp_path, scenario)
 
 
-def test_vanished_caller_frees_its_place(tmp_path):
-    """Callers give up on slow answers; the places they held must come free.
+def test_disconnect_of_a_caller_releases_capacity(tmp_path):
+    """A caller that disconnects must release the capacity that its request uses.
 
-    The caller closes its connection; the attempt is cancelled at the backend server.
+    The attempt is cancelled when the caller closes its connection.
     """
 
     async def scenario(fleet):
@@ -335,13 +335,13 @@
     with_fleet(tmp_path, scenario)
 
 
-def test_caller_that_does_not_read_loses_its_answer(tmp_path, monkeypatch):
-    """Callers that stop reading hold every place of the archive service for ever.
+def test_response_to_a_caller_that_does_not_read_is_aborted(tmp_path, monkeypatch):
+    """Callers that stop reading must not use the capacity of a service forever.
 
-    The answer stops when all buffers on the way are full; the place is held until it
-    ends, which it never does.
+    The response stalls when all buffers are full. Its capacity is reserved until it
+    ends, which without a timeout would be never.
     """
-    monkeypatch.setattr(_application, "SEND_TIMEOUT", 0.3)
+    monkeypatch.setattr(_application, "SEND_TIMEOUT_SECONDS", 0.3)
 
     async def scenario(fleet):
         for backend in fleet.backends.values():
@@ -368,7 +368,7 @@
         caller = fleet.caller("c")
         return await caller.send("filing", "PUT", "/drafts/1", parts())
 
-    answer = with_fleet(tmp_path, scenario)
-    assert answer.status == 200
-    whole = b"".join(bytes([number]) * 10_000 for number in range(50))
-    assert hashlib.sha256(whole).hexdigest().encode() in answer.body
+    response = with_fleet(tmp_path, scenario)
+    assert response.status == 200
+    content = b"".join(bytes([number]) * 10_000 for number in range(50))
+    assert hashlib.sha256(content).hexdigest().encode() in response.body
