--- a/boragegw/entry/_bodies.py
+++ b/boragegw/entry/_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of answers on their way: places given back, downloads resumed."""
+"""Response bodies that release reserved capacity and resume truncated downloads."""
 
 import asyncio
 import re
@@ -8,11 +8,11 @@
 _CONTENT_RANGE = re.compile(rb"bytes (\d+)-\d+/(\d+|\*)")
 
 
-class HeldBody:
-    """A body whose end gives back the backend server's place.
+class ReleasingBody:
+    """A body that releases the capacity of its backend server when it ends.
 
     :param inner: the transport's body.
-    :param on_end: called once with True if the body came to its end.
+    :param on_end: called once, with whether the body was read to its end.
     """
 
     def __init__(self, inner, on_end):
@@ -38,50 +38,54 @@
             on_end(complete)
 
     async def aclose(self):
-        """Give up the rest."""
+        """Close the body without reading the rest."""
         try:
             await self._inner.aclose()
         finally:
             self._finish(False)
 
 
-def is_resumable(request, answer):
-    """Return whether a broken download can go on from another backend server."""
-    if request.method != "GET" or answer.status != 200:
+def is_resumable(request, response):
+    """Return whether a truncated download can resume from another backend server."""
+    if request.method != "GET" or response.status != 200:
         return False
     if messages.find_header(request.headers, b"range") is not None:
         return False
-    etag = messages.find_header(answer.headers, b"etag", b"")
-    length = messages.find_header(answer.headers, b"content-length")
-    ranges = messages.find_header(answer.headers, b"accept-ranges", b"")
+    etag = messages.find_header(response.headers, b"etag", b"")
+    length = messages.find_header(response.headers, b"content-length")
+    ranges = messages.find_header(response.headers, b"accept-ranges", b"")
     return etag.startswith(b'"') and length is not None and ranges == b"bytes"
 
 
-def continues_at(answer, offset, etag):
-    """Return whether a partial answer continues the download at ``offset``."""
-    if answer.status != 206 or messages.find_header(answer.headers, b"etag") != etag:
+def continues_at(response, offset, etag):
+    """Return whether a partial response continues the download at ``offset``."""
+    if (
+        response.status != 206
+        or messages.find_header(response.headers, b"etag") != etag
+    ):
         return False
-    value = messages.find_header(answer.headers, b"content-range", b"")
+    value = messages.find_header(response.headers, b"content-range", b"")
     match = _CONTENT_RANGE.fullmatch(value)
     return match is not None and int(match[1]) == offset
 
 
 class ResumingBody:
-    """A download that goes on from another backend server where one breaks off.
+    """A download that resumes from another backend server after a truncation.
 
-    Guards against truncated downloads: a backend server or a connection goes away in
-    the middle of an archive, and its caller would start again or take a part for the
-    whole. The strong entity tag makes sure that the rest is of the same content.
+    A backend server or a connection may fail during a large download. Without the
+    resumption the caller would have to download all of it again, or could take the
+    part for the whole. The strong entity tag ensures that the rest belongs to the
+    same content.
 
-    :param body: the first body.
-    :param resume: async function from the offset to the next body.
-    :param resumes: most times it goes on.
+    :param body: the body of the first response.
+    :param resume: async function (offset) that returns the body from ``offset`` on.
+    :param max_resumes: most resumptions of one download.
     """
 
-    def __init__(self, body, resume, resumes=3):
+    def __init__(self, body, resume, max_resumes=3):
         self._body = body
         self._resume = resume
-        self._resumes = resumes
+        self._resumes_left = max_resumes
         self._offset = 0
 
     def __aiter__(self):
@@ -92,15 +96,15 @@
             try:
                 chunk = await anext(self._body)
             except errors.TruncatedResponseError as error:
-                await self._continue(error)
+                await self._resume_after(error)
                 continue
             self._offset += len(chunk)
             return chunk
 
-    async def _continue(self, error):
-        if self._resumes <= 0:
+    async def _resume_after(self, error):
+        if self._resumes_left <= 0:
             raise error
-        self._resumes -= 1
+        self._resumes_left -= 1
         try:
             self._body = await self._resume(self._offset)
         except asyncio.CancelledError:
@@ -109,5 +113,5 @@
             raise error from None
 
     async def aclose(self):
-        """Give up the rest."""
+        """Close the body without reading the rest."""
         await self._body.aclose()
--- a/boragegw/entry/_carrier.py
+++ b/boragegw/entry/_carrier.py
@@ -1,4 +1,9 @@
-"""A request's way, top to bottom: classify, find its home, execute or forward."""
+"""Routing of requests within the fleet of entries.
+
+An idempotent request is executed in this process. A non-idempotent one is executed by
+the home of its key, the entry that issued the key's lease, and forwarded if that is
+another process.
+"""
 
 import logging
 
@@ -9,59 +14,61 @@
 
 
 class RequestRouter:
-    """Carries requests from callers and, for keys whose home is here, from peers.
+    """Handles requests from callers and requests that peers forward.
 
-    :param home: the :class:`AtMostOnceExecutor` of this process's keys.
+    :param at_most_once_executor: the :class:`AtMostOnceExecutor` of the keys whose
+        home is this process.
     :param executor: the :class:`Executor`.
     :param leases: a :class:`~boragegw.decisions.LeaseAuthority`.
-    :param membership: the membership controller; holds sealed tables too.
+    :param membership: a :class:`~boragegw.controllers.MembershipController`, which also
+        holds the sealed key tables of stopped peers.
     :param network: a :class:`~boragegw.peers.PeerNetwork`.
-    :param request_limit: most requests in this process at once.
+    :param max_in_flight: most requests in flight in this process.
     """
 
     def __init__(
         self,
         board,
         clock,
-        home,
+        at_most_once_executor,
         executor,
         leases,
         membership,
         network,
-        request_limit=5000,
+        max_in_flight=5000,
         tracer=None,
     ):
         self.board = board
         self.clock = clock
-        self.home = home
+        self.at_most_once_executor = at_most_once_executor
         self.executor = executor
         self.leases = leases
         self.membership = membership
         self.network = network
-        self.request_limit = request_limit
+        self.max_in_flight = max_in_flight
         self.tracer = tracer or _tracing.NullTracer()
 
     async def handle(self, request):
-        """Carry a caller's request; every failure ends as an answer."""
+        """Return the response to a caller's request; errors become responses too."""
         span = self.tracer.start("entry", request.trace, service=request.service)
         request.trace = span.traceparent
-        note = self._open_note(request)
+        request_record = self._add_request_record(request)
         try:
-            answer = await self._carry(request, note)
+            response = await self._route(request, request_record)
         except errors.RequestError as error:
-            answer = messages.Response.from_error(error, request.request_id)
-            note.outcome = error.code.value
+            response = messages.Response.from_error(error, request.request_id)
+            request_record.outcome = error.code.value
             self.board.counters[f"requests.refused.{error.code.value}"] += 1
         else:
-            note.outcome = str(answer.status)
+            request_record.outcome = str(response.status)
             self.board.counters["requests.answered"] += 1
         finally:
-            span.end(outcome=note.outcome)
-        note.verdict = answer.verdict.value
-        _stamp(answer, request)
-        return answer
+            span.end(outcome=request_record.outcome)
+        request_record.verdict = response.verdict.value
+        _set_gateway_headers(response, request)
+        return response
 
-    def _open_note(self, request):
+    def _add_request_record(self, request):
         return self.board.request_history.add(
             blackboard.RequestRecord(
                 request.request_id,
@@ -73,24 +80,26 @@
             )
         )
 
-    async def _carry(self, request, note):
+    async def _route(self, request, request_record):
         service = self.board.services.get(request.service)
         if service is not None:
             settings = service.settings
             if settings.is_idempotent(request.method, request.path):
-                self._refuse_if_full_or_stopping()
-                return await self.executor.execute(request, service, True, note)
-        note.idempotent = False
+                self._refuse_if_unavailable()
+                return await self.executor.execute(
+                    request, service, True, request_record
+                )
+        request_record.idempotent = False
         if not request.key:
-            raise self._without_key(service)
+            raise self._missing_key_error(service)
         lease = self._read_lease(request)
         if lease.incarnation != self.board.identity.incarnation:
-            return await self._at_other_home(request, lease)
-        return await self._at_home(request, lease, note)
+            return await self._handle_remote_key(request, lease)
+        return await self._handle_local_key(request, lease, request_record)
 
-    def _without_key(self, service):
+    def _missing_key_error(self, service):
         if service is None:
-            return _unknown_service()
+            return _unknown_service_error()
         return errors.RequestError.not_run(
             errors.Code.KEY_REQUIRED,
             "a non-idempotent request needs an Idempotency-Key of the form "
@@ -99,8 +108,8 @@
 
     def _read_lease(self, request):
         try:
-            text, _ = decisions.split_key(request.key)
-            lease = self.leases.decode(text)
+            encoded_lease, _ = decisions.split_key(request.key)
+            lease = self.leases.decode(encoded_lease)
         except ValueError as error:
             raise errors.RequestError.not_run(
                 errors.Code.KEY_INVALID, str(error)
@@ -108,15 +117,17 @@
         if lease is None:
             raise errors.RequestError.not_run(
                 errors.Code.KEY_INVALID,
-                "the key's lease is not valid; GET /v1/entries?service=NAME gives one",
+                "the key's lease is invalid; GET /v1/entries?service=NAME gives one",
             )
         return lease
 
-    def _refuse_if_full_or_stopping(self):
+    def _refuse_if_unavailable(self):
         lifecycle = self.board.lifecycle
-        if lifecycle.in_flight > self.request_limit:
+        if lifecycle.in_flight > self.max_in_flight:
             raise errors.RequestError.not_run(
-                errors.Code.OVERLOADED, "this entry has no room", retry_after=1.0
+                errors.Code.OVERLOADED,
+                "this entry has too many requests in flight",
+                retry_after=1.0,
             )
         if lifecycle.state is blackboard.MemberState.STARTING:
             raise errors.RequestError.not_run(
@@ -127,34 +138,46 @@
                 errors.Code.STOPPING, "this entry is stopping", retry_after=0.5
             )
 
-    async def _at_home(self, request, lease, note):
-        """Run a key of this process; its refusals are recorded, so they are final."""
+    async def _handle_local_key(self, request, lease, request_record):
+        """Handle a key whose home is this process.
+
+        Refusals are recorded, so that no later copy of the request can run.
+        """
         service = self.board.services.get(request.service)
         if service is None:
-            raise self.home.refuse(request, lease, _unknown_service())
+            raise self.at_most_once_executor.refuse(
+                request, lease, _unknown_service_error()
+            )
         request.body.size_limit = service.settings.non_idempotent_body_limit
         await request.body.read_all()
-        if not self.home.keys.sealed:
+        if not self.at_most_once_executor.keys.sealed:
             try:
-                self._refuse_if_full_or_stopping()
+                self._refuse_if_unavailable()
             except errors.RequestError as error:
-                raise self.home.refuse(request, lease, error) from error
-        return await self.home.run(request, lease, service, note)
+                raise self.at_most_once_executor.refuse(
+                    request, lease, error
+                ) from error
+        return await self.at_most_once_executor.run(
+            request, lease, service, request_record
+        )
 
-    async def _at_other_home(self, request, lease):
-        """Have the key's home carry the request; never run it here.
+    async def _handle_remote_key(self, request, lease):
+        """Forward a request to the home of its key; never run it in this process.
 
-        Guards against a second run: the home may be cut off, stopped or gone while an
-        earlier copy has run there. Without its word the answer is "may have run".
+        An earlier copy may have run at the home before the home stopped, failed or
+        became unreachable, and running the request here could run it twice. Without
+        a response from the home the verdict is therefore may-have-run.
         """
         await request.body.read_all()
         sealed = self.membership.sealed_tables.get(lease.incarnation)
         if sealed is not None:
-            return self._from_sealed(sealed, request, lease)
-        if self.board.lifecycle.in_flight > self.request_limit:
-            raise self._home_unreachable("this entry has no room to forward")
-        keepers = self.membership.sealed_table_holders(lease.incarnation)
-        addresses = [lease.address, *(keeper.peer_address for keeper in keepers)]
+            return self._response_from_sealed(sealed, request, lease)
+        if self.board.lifecycle.in_flight > self.max_in_flight:
+            raise self._home_unreachable_error(
+                "this entry has too many requests in flight to forward another"
+            )
+        holders = self.membership.sealed_table_holders(lease.incarnation)
+        addresses = [lease.address, *(holder.peer_address for holder in holders)]
         span = self.tracer.start("forward", request.trace)
         request.trace = span.traceparent
         try:
@@ -169,64 +192,69 @@
                 self.board.counters["requests.forwarded"] += 1
                 return await self.network.forward(address, lease.incarnation, request)
             except peers.PeerError as error:
-                logger.info("forward failed: %s", error)
+                logger.info("forwarding a request to a peer failed: %s", error)
                 failure = error
-        raise self._home_unreachable(str(failure))
+        raise self._home_unreachable_error(str(failure))
 
     @staticmethod
-    def _home_unreachable(detail):
+    def _home_unreachable_error(detail):
         return errors.RequestError(
             errors.Code.HOME_UNREACHABLE,
-            f"the key's home cannot be asked: {detail}",
+            f"the entry that issued the key's lease cannot be reached: {detail}",
             errors.Verdict.MAY_HAVE_RUN,
             retry_after=1.0,
         )
 
     @staticmethod
-    def _from_sealed(sealed, request, lease):
+    def _response_from_sealed(sealed, request, lease):
         admission = sealed.admit(request.key, lease)
         if admission.kind is decisions.AdmissionKind.REFUSE:
             raise admission.error
         _home.check_fingerprint(request, admission.record.fingerprint)
-        return _home.answer_of(admission.record.outcome)
+        return _home.response_of_outcome(admission.record.outcome)
 
     async def handle_forwarded(self, incarnation, request):
-        """Carry a request that a peer has forwarded to ``incarnation``.
+        """Return the response to a request that a peer forwarded to ``incarnation``.
 
-        :returns: the answer, or ``None`` if this process neither is that incarnation
+        :returns: the response, or ``None`` if this process neither is that incarnation
             nor holds its sealed table.
         """
-        note = self._open_note(request)
-        note.idempotent = False
+        request_record = self._add_request_record(request)
+        request_record.idempotent = False
         try:
             lease = self._read_lease(request)
             if lease.incarnation != incarnation:
                 return None
             if incarnation == self.board.identity.incarnation:
-                answer = await self._at_home(request, lease, note)
+                response = await self._handle_local_key(request, lease, request_record)
             elif incarnation in self.membership.sealed_tables:
                 await request.body.read_all()
                 sealed = self.membership.sealed_tables[incarnation]
-                answer = self._from_sealed(sealed, request, lease)
+                response = self._response_from_sealed(sealed, request, lease)
             else:
                 return None
         except errors.RequestError as error:
-            answer = messages.Response.from_error(error, request.request_id)
-        note.outcome, note.verdict = str(answer.status), answer.verdict.value
-        return answer
+            response = messages.Response.from_error(error, request.request_id)
+        request_record.outcome, request_record.verdict = (
+            str(response.status),
+            response.verdict.value,
+        )
+        return response
 
 
-def _stamp(answer, request):
-    """Put verdict and request id on an answer once, also on a forwarded one."""
-    stamps = {
-        messages.VERDICT_HEADER: answer.verdict.value.encode(),
+def _set_gateway_headers(response, request):
+    """Set the verdict and request id headers, replacing those of a forwarding peer."""
+    gateway_headers = {
+        messages.VERDICT_HEADER: response.verdict.value.encode(),
         messages.REQUEST_ID_HEADER: request.request_id.encode(),
     }
-    kept = [header for header in answer.headers if header[0] not in stamps]
-    answer.headers[:] = kept + list(stamps.items())
+    other_headers = [
+        header for header in response.headers if header[0] not in gateway_headers
+    ]
+    response.headers[:] = other_headers + list(gateway_headers.items())
 
 
-def _unknown_service():
+def _unknown_service_error():
     return errors.RequestError.not_run(
-        errors.Code.UNKNOWN_SERVICE, "no such service; nothing was run"
+        errors.Code.UNKNOWN_SERVICE, "unknown service; the request was not run"
     )
--- a/boragegw/entry/_executor.py
+++ b/boragegw/entry/_executor.py
@@ -1,4 +1,4 @@
-"""Runs a request on backend servers: place, attempt, retry, hedge, resume."""
+"""Execution of a request on backend servers, with retries, hedging and resumption."""
 
 import asyncio
 import dataclasses
@@ -6,18 +6,26 @@
 from boragegw import backends, blackboard, decisions, errors, messages
 from boragegw.entry import _bodies, _race, _tracing
 
-RETRYABLE_STATUS = frozenset((502, 503, 504))
-MOVED = (backends.Failure.CALLER, backends.Failure.CLOSED)
-MIN_STALL = 1.0
-STALL_FACTOR = 8.0
-_SKIPPED = frozenset(
+#: Gateway errors, after which an idempotent request is retried.
+RETRYABLE_STATUSES = frozenset((502, 503, 504))
+#: Failures found before anything was sent, because the reservation is no longer valid
+#: or the backend server has closed the idle connection. Until its deadline the request
+#: is sent again, which does not count as a retry.
+UNCOUNTED_FAILURES = (backends.Failure.CALLER, backends.Failure.CLOSED)
+#: An attempt without a response is stalled after ``STALL_LATENCY_FACTOR`` times the
+#: mean latency of the service, but not earlier than this.
+MIN_STALL_TIMEOUT_SECONDS = 1.0
+STALL_LATENCY_FACTOR = 8.0
+#: Request headers that are not copied from the caller's request. The length, the host
+#: and the trace context are set anew for each attempt.
+_EXCLUDED_HEADERS = frozenset(
     (b"host", b"content-length", b"expect", messages.TRACEPARENT_HEADER)
 )
 
 
 @dataclasses.dataclass(slots=True)
 class ExecutionPolicies:
-    """The decisions that shape an execution."""
+    """The policies of an :class:`Executor`."""
 
     retries: decisions.RetryPolicy
     hedging: decisions.HedgePolicy
@@ -25,37 +33,41 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Call:
-    """The progress of one request.
-
-    :param fingerprint: taken before the sending of a body that is streamed, whose
-        digest goes on growing; empty for a body held whole, whose does not.
-    :param made: attempts made.
-    :param excluded: names of backend servers tried.
-    :param verdict: the most that may have happened in all attempts so far.
+class _ExecutionState:
+    """The state of the execution of one request.
+
+    :param harm: rank of the harm of losing the request; 0 is the least.
+    :param headers: the headers sent with every attempt.
+    :param fingerprint: taken before a streamed body is sent, because its digest covers
+        only the bytes read so far; empty for a body that is buffered completely.
+    :param attempts_made: failed attempts that count against the retry limit.
+    :param excluded: names of backend servers already tried.
+    :param verdict: not-run until a failed attempt may have run the request; then the
+        verdict of the latest such attempt.
     """
 
     request: messages.Request
     service: blackboard.ServiceState
     idempotent: bool
     harm: int
-    note: blackboard.RequestRecord
+    request_record: blackboard.RequestRecord
     headers: list
     fingerprint: bytes = b""
-    made: int = 0
+    attempts_made: int = 0
     excluded: frozenset = frozenset()
     verdict: errors.Verdict = errors.Verdict.NOT_RUN
 
-    def known_fingerprint(self):
-        """Return the request's fingerprint, the same before and after its sending."""
+    def stable_fingerprint(self):
+        """Return the request's fingerprint, which sending the body does not change."""
         return self.fingerprint or self.request.fingerprint()
 
 
 class Executor:
-    """Carries requests to backend servers.
+    """Executes requests on backend servers.
 
     :param policies: a :class:`ExecutionPolicies`.
-    :param on_quarantine: called with (fingerprint, seconds) when one is found.
+    :param on_quarantine: called with (fingerprint, seconds) when a request is
+        quarantined.
     """
 
     def __init__(
@@ -79,193 +91,213 @@
         self.tracer = tracer or _tracing.NullTracer()
         self.on_quarantine = lambda fingerprint, remaining: None
 
-    async def execute(self, request, service, idempotent, note):
-        """Return the answer of a backend server.
+    async def execute(self, request, service, idempotent, request_record):
+        """Return the response of a backend server.
 
-        :param note: the request's :class:`~boragegw.blackboard.RequestRecord`.
-        :raises RequestError: with the verdict over all attempts.
+        :param request_record: a :class:`~boragegw.blackboard.RequestRecord`.
+        :raises RequestError: with the verdict of all attempts.
         """
         self.policies.retries.earn(service)
         await request.body.prefetch()
-        call = self._call(request, service, idempotent, note)
-        self._refuse_quarantined(call)
+        state = self._initial_state(request, service, idempotent, request_record)
+        self._refuse_quarantined(state)
         while True:
-            answer = await self._one_round(call)
-            if answer is not None:
-                return answer
+            response = await self._try_once(state)
+            if response is not None:
+                return response
 
-    def _call(self, request, service, idempotent, note):
+    def _initial_state(self, request, service, idempotent, request_record):
         headers = [
             (key, value)
             for key, value in messages.end_to_end_headers(request.headers)
-            if key not in _SKIPPED
+            if key not in _EXCLUDED_HEADERS
         ]
         if not request.body.complete:
             length = messages.find_header(request.headers, b"content-length")
             if length is not None:
                 headers.append((b"content-length", length))
-        return _Call(
+        return _ExecutionState(
             request=request,
             service=service,
             idempotent=idempotent,
             harm=service.settings.harm(request.method, request.path),
-            note=note,
+            request_record=request_record,
             headers=headers,
             fingerprint=b"" if request.body.complete else request.fingerprint(),
         )
 
-    def _refuse_quarantined(self, call):
+    def _refuse_quarantined(self, state):
         quarantine = self.policies.quarantine
         quarantined = self.board.quarantined
         if not quarantined:
             return
-        fingerprint = call.known_fingerprint()
+        fingerprint = state.stable_fingerprint()
         if quarantine.covers(quarantined, fingerprint, self.clock.now()):
             self.board.counters["requests.quarantined"] += 1
             raise errors.RequestError.not_run(
                 errors.Code.QUARANTINED,
-                "this request has crashed backend servers; it was not run again",
+                "the request is quarantined because it crashed backend servers; "
+                "it was not run again",
                 retry_after=quarantine.duration,
             )
 
-    async def _one_round(self, call):
-        """Acquire a place and try once; return ``None`` if to be tried again."""
-        backend = await self._acquire(call)
+    async def _try_once(self, state):
+        """Acquire capacity and send the request; return ``None`` if it is retried."""
+        backend = await self._acquire(state)
         try:
-            answer = await self._try(call, backend)
+            response = await self._attempt_with_hedging(state, backend)
         except backends.AttemptError as error:
-            self._after_failure(call, error)
+            self._handle_failure(state, error)
             return None
-        if self._is_retried(call, answer):
-            await answer.aclose()
+        if self._should_retry(state, response):
+            await response.aclose()
             return None
-        return answer
+        return response
 
-    def _is_retried(self, call, answer):
-        """Return whether a gateway error is to be tried elsewhere."""
-        if not call.idempotent or answer.status not in RETRYABLE_STATUS:
+    def _should_retry(self, state, response):
+        """Return whether a response is a gateway error to retry on another server."""
+        if not state.idempotent or response.status not in RETRYABLE_STATUSES:
             return False
-        call.excluded = call.excluded | {call.note.attempts[-1].backend}
-        return self._permits_retry(call, errors.Verdict.MAY_HAVE_RUN)
+        state.excluded = state.excluded | {state.request_record.attempts[-1].backend}
+        return self._permits_retry(state, errors.Verdict.MAY_HAVE_RUN)
 
-    async def _acquire(self, call):
-        """Wait for a place; a refusal after earlier attempts keeps their verdict."""
-        span = self.tracer.start("queue", call.request.trace)
+    async def _acquire(self, state):
+        """Acquire capacity; an error after earlier attempts keeps their verdict."""
+        span = self.tracer.start("queue", state.request.trace)
         try:
             return await self.dispatcher.acquire(
-                call.service,
-                harm=call.harm,
-                deadline=call.request.deadline,
-                excluded=call.excluded,
+                state.service,
+                harm=state.harm,
+                deadline=state.request.deadline,
+                excluded=state.excluded,
             )
         except errors.RequestError as error:
-            if call.verdict is errors.Verdict.NOT_RUN:
+            if state.verdict is errors.Verdict.NOT_RUN:
                 raise
             raise errors.RequestError(
-                error.code, error.detail, call.verdict, error.retry_after
+                error.code, error.detail, state.verdict, error.retry_after
             ) from error
         finally:
             span.end()
 
-    async def _try(self, call, backend):
-        reason = "first" if call.made == 0 else "retry"
-        fresh = call.made > 0
-        if not call.idempotent or not call.request.body.replayable:
-            return await self._attempt_watched(call, backend, reason, fresh)
-        race = _race.Race(
-            lambda b, why, new: self._attempt(call, b, why, new),
-            lambda: self._hedge_backend(call, backend),
-            lambda b: self.observer.is_responsive(call.service, b),
-            self._hedge_delay(call),
-            self._stall(call),
+    async def _attempt_with_hedging(self, state, backend):
+        reason = "first" if state.attempts_made == 0 else "retry"
+        fresh = state.attempts_made > 0
+        if not state.idempotent or not state.request.body.replayable:
+            return await self._attempt_with_probe(state, backend, reason, fresh)
+        hedged_attempt = _race.HedgedAttempt(
+            lambda candidate, attempt_reason, new_connection: self._attempt(
+                state, candidate, attempt_reason, new_connection
+            ),
+            lambda: self._acquire_hedge_backend(state, backend),
+            lambda candidate: self.observer.is_responsive(state.service, candidate),
+            self._hedge_delay(state),
+            self._stall_timeout(state),
             self.tasks.start,
         )
-        return await race.run(backend, reason, fresh)
+        return await hedged_attempt.run(backend, reason, fresh)
 
-    def _hedge_delay(self, call):
-        if not call.request.body.complete:
+    def _hedge_delay(self, state):
+        if not state.request.body.complete:
             return None
-        return self.policies.hedging.delay(call.service)
+        return self.policies.hedging.delay(state.service)
 
     @staticmethod
-    def _stall(call):
-        return max(MIN_STALL, STALL_FACTOR * call.service.latency)
+    def _stall_timeout(state):
+        return max(
+            MIN_STALL_TIMEOUT_SECONDS, STALL_LATENCY_FACTOR * state.service.latency
+        )
 
-    def _hedge_backend(self, call, first):
-        """Return a backend server for the hedge with its place taken, or ``None``."""
-        if not self.policies.hedging.permits(call.service, self.clock.now()):
+    def _acquire_hedge_backend(self, state, first):
+        """Reserve capacity for a hedge; return its backend server, or ``None``."""
+        if not self.policies.hedging.permits(state.service, self.clock.now()):
             return None
-        excluded = call.excluded | {first.name}
-        backend = self.dispatcher.try_acquire(call.service, excluded)
+        excluded = state.excluded | {first.name}
+        backend = self.dispatcher.try_acquire(state.service, excluded)
         if backend is first:
-            self.dispatcher.release(call.service, first)
+            self.dispatcher.release(state.service, first)
             return None
         if backend is not None:
             self.board.counters["requests.hedged"] += 1
         return backend
 
-    async def _attempt_watched(self, call, backend, reason, fresh):
-        """Attempt what cannot be sent again; look into the connection if it stalls."""
+    async def _attempt_with_probe(self, state, backend, reason, fresh):
+        """Send a request that cannot be sent again; probe its server if it stalls.
+
+        An answered probe makes the transport discard the older connections.
+        """
         loop = asyncio.get_running_loop()
         timer = loop.call_later(
-            self._stall(call),
+            self._stall_timeout(state),
             lambda: self.tasks.start(
-                self.observer.is_responsive(call.service, backend), "test connection"
+                self.observer.is_responsive(state.service, backend),
+                "probe stalled connection",
             ),
         )
         try:
-            return await self._attempt(call, backend, reason, fresh)
+            return await self._attempt(state, backend, reason, fresh)
         finally:
             timer.cancel()
 
-    async def _attempt(self, call, backend, reason, fresh):
-        """Send the request once; the place is held until the answer's end."""
-        request = call.request
-        attempt_id = f"{request.request_id}-{len(call.note.attempts) + 1}"
+    async def _attempt(self, state, backend, reason, fresh):
+        """Send the request once; its capacity is released when the response ends."""
+        request = state.request
+        attempt_id = f"{request.request_id}-{len(state.request_record.attempts) + 1}"
         now = self.clock.now()
-        note = blackboard.AttemptRecord(attempt_id, backend.name, reason, now)
-        call.note.attempts.append(note)
+        attempt_record = blackboard.AttemptRecord(attempt_id, backend.name, reason, now)
+        state.request_record.attempts.append(attempt_record)
         if not self.dispatcher.may_send(backend, request.deadline):
-            self.dispatcher.release(call.service, backend)
-            raise self._moved(backend, note)
+            self.dispatcher.release(state.service, backend)
+            raise self._stale_reservation_error(backend, attempt_record)
         span = self.tracer.start("attempt", request.trace, backend=backend.name)
         self.dispatcher.record_attempt_start(backend, attempt_id)
         self.board.counters["attempts.sent"] += 1
-        answer = None
+        response = None
         try:
-            answer = await self.transport.send(
-                self._outgoing(call, backend, attempt_id, reason, fresh, span)
+            response = await self.transport.send(
+                self._build_attempt(state, backend, attempt_id, reason, fresh, span)
             )
         except backends.AttemptError as error:
-            note.outcome, note.verdict = error.failure.value, error.verdict.value
-            self.observer.observe_failure(call.service, backend, error)
+            attempt_record.outcome, attempt_record.verdict = (
+                error.failure.value,
+                error.verdict.value,
+            )
+            self.observer.observe_failure(state.service, backend, error)
             raise
         except errors.RequestError as error:
-            note.outcome, note.verdict = error.code.value, error.verdict.value
+            attempt_record.outcome, attempt_record.verdict = (
+                error.code.value,
+                error.verdict.value,
+            )
             raise
         finally:
-            note.ended_at = self.clock.now()
-            if answer is None:
-                self.dispatcher.release(call.service, backend, attempt_id)
-                note.outcome = note.outcome or "cancelled"
-            span.end(outcome=note.outcome)
-        return self._accept(call, backend, attempt_id, note, answer)
-
-    def _moved(self, backend, note):
-        """Return the error for a place that is not to be used any more."""
-        note.outcome, note.verdict = "moved", errors.Verdict.NOT_RUN.value
+            attempt_record.ended_at = self.clock.now()
+            if response is None:
+                self.dispatcher.release(state.service, backend, attempt_id)
+                attempt_record.outcome = attempt_record.outcome or "cancelled"
+            span.end(outcome=attempt_record.outcome)
+        return self._build_response(
+            state, backend, attempt_id, attempt_record, response
+        )
+
+    def _stale_reservation_error(self, backend, attempt_record):
+        """Return the error for reserved capacity that may no longer be used."""
+        attempt_record.outcome, attempt_record.verdict = (
+            "moved",
+            errors.Verdict.NOT_RUN.value,
+        )
         return backends.AttemptError(
             backends.Failure.CALLER,
             errors.Verdict.NOT_RUN,
-            f"{backend.name}: no longer to be used, or the deadline has passed",
+            f"{backend.name}: no longer admissible, or the deadline has passed",
         )
 
-    def _outgoing(self, call, backend, attempt_id, reason, fresh, span):
-        request = call.request
+    def _build_attempt(self, state, backend, attempt_id, reason, fresh, span):
+        request = state.request
         remaining = max(1, int((request.deadline - self.clock.now()) * 1000))
         left = request.retries_left if reason == "first" else 0
         headers = [
-            *call.headers,
+            *state.headers,
             (messages.DEADLINE_HEADER, str(remaining).encode()),
             (messages.RETRIES_LEFT_HEADER, str(left).encode()),
             (messages.REQUEST_ID_HEADER, request.request_id.encode()),
@@ -282,109 +314,119 @@
             content=request.body.content() if complete else None,
             stream=None if complete else request.body.chunks(),
             deadline=request.deadline,
-            idempotent=call.idempotent,
+            idempotent=state.idempotent,
             fresh=fresh,
         )
 
-    def _accept(self, call, backend, attempt_id, note, answer):
-        latency = note.ended_at - note.started_at
-        note.outcome = str(answer.status)
-        failed = answer.status >= 500
+    def _build_response(self, state, backend, attempt_id, attempt_record, response):
+        latency = attempt_record.ended_at - attempt_record.started_at
+        attempt_record.outcome = str(response.status)
+        failed = response.status >= 500
         verdict = errors.Verdict.MAY_HAVE_RUN if failed else errors.Verdict.RAN
-        note.verdict = verdict.value
+        attempt_record.verdict = verdict.value
         self.observer.observe_response(
-            call.service, backend, latency, answer.report, answer.status
+            state.service, backend, latency, response.report, response.status
         )
 
         def on_end(complete):
-            self.dispatcher.release(call.service, backend, attempt_id)
+            self.dispatcher.release(state.service, backend, attempt_id)
             if not complete:
-                note.outcome += " broken off"
+                attempt_record.outcome += " broken off"
 
-        body = _bodies.HeldBody(answer.body, on_end)
-        if _bodies.is_resumable(call.request, answer):
-            etag = messages.find_header(answer.headers, b"etag")
+        body = _bodies.ReleasingBody(response.body, on_end)
+        if _bodies.is_resumable(state.request, response):
+            etag = messages.find_header(response.headers, b"etag")
             body = _bodies.ResumingBody(
-                body, lambda offset: self._resume(call, backend, offset, etag)
+                body, lambda offset: self._resume(state, backend, offset, etag)
             )
-        return messages.Response(answer.status, answer.headers, body, verdict)
+        return messages.Response(response.status, response.headers, body, verdict)
+
+    async def _resume(self, state, failed_backend, offset, etag):
+        """Return the rest of a download, from ``offset`` on, from another server.
 
-    async def _resume(self, call, broken, offset, etag):
-        """Return the body of a partial answer from ``offset`` on."""
-        if not call.service.retry_budget.take(self.clock.now()):
-            raise errors.TruncatedResponseError("no retry budget to go on")
+        :raises TruncatedResponseError: if the retry budget is exhausted or the content
+            has changed.
+        """
+        if not state.service.retry_budget.take(self.clock.now()):
+            raise errors.TruncatedResponseError(
+                "the retry budget is exhausted; the download cannot resume"
+            )
         self.board.counters["requests.resumed"] += 1
-        deadline = self.clock.now() + call.service.settings.deadline
-        request = dataclasses.replace(call.request, deadline=deadline)
-        headers = [h for h in call.headers if h[0] not in (b"range", b"if-range")]
+        deadline = self.clock.now() + state.service.settings.deadline
+        request = dataclasses.replace(state.request, deadline=deadline)
+        headers = [h for h in state.headers if h[0] not in (b"range", b"if-range")]
         headers.append((b"range", f"bytes={offset}-".encode()))
         headers.append((b"if-range", etag))
-        further = dataclasses.replace(
-            call,
+        resumed_state = dataclasses.replace(
+            state,
             request=request,
             headers=headers,
-            excluded=call.excluded | {broken.name},
+            excluded=state.excluded | {failed_backend.name},
         )
-        backend = await self._acquire(further)
-        answer = await self._attempt(further, backend, "resume", True)
-        if not _bodies.continues_at(answer, offset, etag):
-            await answer.aclose()
-            raise errors.TruncatedResponseError("the content has changed")
-        return answer.body
-
-    def _after_failure(self, call, error):
-        """Decide after a failed attempt; raise the final answer, or return to retry."""
+        backend = await self._acquire(resumed_state)
+        response = await self._attempt(resumed_state, backend, "resume", True)
+        if not _bodies.continues_at(response, offset, etag):
+            await response.aclose()
+            raise errors.TruncatedResponseError(
+                "the content changed during the download"
+            )
+        return response.body
+
+    def _handle_failure(self, state, error):
+        """Return if a failed attempt is to be retried, else raise the final error."""
         if error.verdict is not errors.Verdict.NOT_RUN:
-            call.verdict = error.verdict
-        if error.failure is backends.Failure.BROKEN and self._is_poisonous(call, error):
+            state.verdict = error.verdict
+        if error.failure is backends.Failure.BROKEN and self._record_crash(
+            state, error
+        ):
             raise errors.RequestError(
-                errors.Code.QUARANTINED, error.detail, call.verdict
+                errors.Code.QUARANTINED, error.detail, state.verdict
             )
-        if error.failure in MOVED:
-            if call.request.deadline > self.clock.now():
+        if error.failure in UNCOUNTED_FAILURES:
+            if state.request.deadline > self.clock.now():
                 return
-            raise self._final(call, error)
-        tried = call.note.attempts[-1].backend
-        call.excluded = call.excluded | {tried}
-        if not self._permits_retry(call, error.verdict):
-            raise self._final(call, error)
-
-    def _permits_retry(self, call, verdict):
-        call.made += 1
-        permitted = call.request.body.replayable and self.policies.retries.permits(
-            call.service,
+            raise self._final_error(state, error)
+        tried_backend = state.request_record.attempts[-1].backend
+        state.excluded = state.excluded | {tried_backend}
+        if not self._permits_retry(state, error.verdict):
+            raise self._final_error(state, error)
+
+    def _permits_retry(self, state, verdict):
+        state.attempts_made += 1
+        permitted = state.request.body.replayable and self.policies.retries.permits(
+            state.service,
             verdict=verdict,
-            idempotent=call.idempotent,
-            made=call.made,
-            left=call.request.retries_left,
-            deadline=call.request.deadline,
+            idempotent=state.idempotent,
+            made=state.attempts_made,
+            left=state.request.retries_left,
+            deadline=state.request.deadline,
             now=self.clock.now(),
         )
         if permitted:
             self.board.counters["requests.retried"] += 1
         return permitted
 
-    def _is_poisonous(self, call, error):
-        """Count a crash; return whether the request is quarantined by it."""
+    def _record_crash(self, state, error):
+        """Record a crash; return whether it quarantines the request."""
         if error.verdict is errors.Verdict.NOT_RUN:
             return False
         quarantine = self.policies.quarantine
-        fingerprint = call.known_fingerprint()
+        fingerprint = state.stable_fingerprint()
         if not quarantine.observe_crash(
-            self.board.quarantined, fingerprint, call.idempotent, self.clock.now()
+            self.board.quarantined, fingerprint, state.idempotent, self.clock.now()
         ):
             return False
         self.on_quarantine(fingerprint, quarantine.duration)
         return True
 
-    def _final(self, call, error):
-        """Return the error that ends the request, at once."""
+    def _final_error(self, state, error):
+        """Return the error to send to the caller."""
         if error.failure is backends.Failure.REFUSED:
             code = errors.Code.OVERLOADED
         elif error.failure in (backends.Failure.TIMEOUT, backends.Failure.CALLER):
             code = errors.Code.DEADLINE_EXCEEDED
         else:
             code = errors.Code.ATTEMPT_FAILED
-        not_run = call.verdict is errors.Verdict.NOT_RUN
+        not_run = state.verdict is errors.Verdict.NOT_RUN
         retry_after = error.retry_after or (1.0 if not_run else None)
-        return errors.RequestError(code, error.detail, call.verdict, retry_after)
+        return errors.RequestError(code, error.detail, state.verdict, retry_after)
--- a/boragegw/entry/_home.py
+++ b/boragegw/entry/_home.py
@@ -1,4 +1,8 @@
-"""The home of keys: runs each non-idempotent request at most once."""
+"""At-most-once execution of non-idempotent requests by idempotency key.
+
+The entry that issued the lease of a key is the home of the key. Only the home runs the
+request; other entries forward to it.
+"""
 
 import asyncio
 import dataclasses
@@ -10,89 +14,106 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Execution:
-    """A running key.
+class KeyExecution:
+    """The running execution of a key.
 
-    :param outcome: future of the final outcome, for every caller that waits.
-    :param streamed: an answer too large to keep, for the first caller alone.
+    :param outcome: future of the final outcome, awaited by all callers of the key.
+    :param streamed_response: a response too large to store, which only the first
+        caller gets.
+    :param first_caller_waits: whether the first caller is still connected.
     """
 
     outcome: asyncio.Future
-    streamed: messages.Response | None = None
-    first_waits: bool = True
+    streamed_response: messages.Response | None = None
+    first_caller_waits: bool = True
 
 
 class AtMostOnceExecutor:
-    """Admits keys, runs them in tasks of their own, and replays their outcomes.
+    """Runs the request of each key at most once and replays its outcome to resends.
 
     :param keys: a :class:`~boragegw.decisions.KeyTable`.
     :param executor: the :class:`Executor`.
-    :param answer_limit: bytes of an answer that are kept for resends.
+    :param stored_response_limit: largest response body in bytes that is stored for
+        resends.
     """
 
-    def __init__(self, board, clock, keys, executor, tasks, answer_limit=65_536):
+    def __init__(
+        self, board, clock, keys, executor, tasks, stored_response_limit=65_536
+    ):
         self.board = board
         self.clock = clock
         self.keys = keys
         self.executor = executor
         self.tasks = tasks
-        self.answer_limit = answer_limit
+        self.stored_response_limit = stored_response_limit
 
     def refuse(self, request, lease, error):
-        """Return what to tell a caller whose key is refused before it was tried."""
+        """Record that a key is refused without a run; return the error to send."""
         return self.keys.refuse(request.key, lease, error, self.clock.wall())
 
-    async def run(self, request, lease, service, note):
-        """Run, join or replay the key of ``request``, whose body is held whole.
+    async def run(self, request, lease, service, request_record):
+        """Run the key of ``request``, join its running execution or replay its outcome.
 
-        :returns: the answer.
+        :param request: a request whose body is buffered completely.
+        :returns: the response.
         :raises RequestError: with the recorded verdict.
         """
         admission = self.keys.admit(request.key, lease, self.clock.wall())
         if admission.kind is decisions.AdmissionKind.REFUSE:
             raise admission.error
-        record = admission.record
+        key_record = admission.record
         if admission.kind is decisions.AdmissionKind.RUN:
-            return await self._run_first(request, record, service, note)
-        check_fingerprint(request, record.fingerprint)
+            return await self._start_execution(
+                request, key_record, service, request_record
+            )
+        check_fingerprint(request, key_record.fingerprint)
         self.board.counters["keys.replayed"] += 1
         if admission.kind is decisions.AdmissionKind.JOIN:
-            outcome = await asyncio.shield(record.execution.outcome)
+            outcome = await asyncio.shield(key_record.execution.outcome)
         else:
-            outcome = record.outcome
-        return answer_of(outcome)
+            outcome = key_record.outcome
+        return response_of_outcome(outcome)
 
-    async def _run_first(self, request, record, service, note):
-        """Start the key's execution and wait for it.
+    async def _start_execution(self, request, key_record, service, request_record):
+        """Start the execution of a key and wait for its outcome.
 
-        The execution is a task of its own: if its caller goes away it still ends and
-        its outcome is there for the resend.
+        The execution is a separate task. If the caller disconnects, the execution
+        still completes and its outcome is available to a resend.
         """
-        record.fingerprint = request.fingerprint()
+        key_record.fingerprint = request.fingerprint()
         loop = asyncio.get_running_loop()
-        execution = Execution(loop.create_future())
-        record.execution = execution
+        execution = KeyExecution(loop.create_future())
+        key_record.execution = execution
         self.tasks.start(
-            self._execute(request, record, execution, service, note), "run key"
+            self._run_execution(
+                request, key_record, execution, service, request_record
+            ),
+            "run request of a key",
         )
         try:
             outcome = await asyncio.shield(execution.outcome)
         except asyncio.CancelledError:
-            execution.first_waits = False
-            if execution.streamed is not None:
-                self.tasks.start(execution.streamed.aclose(), "close answer")
+            execution.first_caller_waits = False
+            if execution.streamed_response is not None:
+                self.tasks.start(execution.streamed_response.aclose(), "close response")
             raise
-        if execution.streamed is not None:
-            return execution.streamed
-        return answer_of(outcome)
+        if execution.streamed_response is not None:
+            return execution.streamed_response
+        return response_of_outcome(outcome)
 
-    async def _execute(self, request, record, execution, service, note):
+    async def _run_execution(
+        self, request, key_record, execution, service, request_record
+    ):
         outcome = errors.RequestError(
-            errors.Code.INTERNAL, "ended early", errors.Verdict.MAY_HAVE_RUN
+            errors.Code.INTERNAL,
+            "the execution was cancelled or failed unexpectedly",
+            errors.Verdict.MAY_HAVE_RUN,
         )
         try:
-            answer = await self.executor.execute(request, service, False, note)
-            outcome = await self._collect(execution, answer)
+            response = await self.executor.execute(
+                request, service, False, request_record
+            )
+            outcome = await self._buffer_response(execution, response)
         except errors.RequestError as error:
             outcome = error
         except errors.TruncatedResponseError as error:
@@ -100,39 +121,43 @@
                 errors.Code.ATTEMPT_FAILED, error.detail, errors.Verdict.MAY_HAVE_RUN
             )
         finally:
-            self.keys.finish(record, outcome)
-            execution.outcome.set_result(record.outcome)
-
-    async def _collect(self, execution, answer):
-        """Return the answer to keep; one that is too large goes to its caller only."""
-        held = bytearray()
-        async for chunk in answer.body:
-            held += chunk
-            if len(held) > self.answer_limit:
-                await self._stream(execution, answer, bytes(held))
+            self.keys.finish(key_record, outcome)
+            execution.outcome.set_result(key_record.outcome)
+
+    async def _buffer_response(self, execution, response):
+        """Return the response to store, or an error if the body is above the limit.
+
+        A response above the limit is streamed to the first caller only.
+        """
+        buffered = bytearray()
+        async for chunk in response.body:
+            buffered += chunk
+            if len(buffered) > self.stored_response_limit:
+                await self._stream_response(execution, response, bytes(buffered))
                 return errors.RequestError(
                     errors.Code.ANSWER_NOT_KEPT,
-                    f"the request ran; its answer is above {self.answer_limit} bytes",
+                    "the request ran; its response was not stored because it exceeds "
+                    f"{self.stored_response_limit} bytes",
                     errors.Verdict.RAN,
                 )
-        headers = [h for h in answer.headers if h[0] != b"content-length"]
-        headers.append((b"content-length", str(len(held)).encode()))
-        return decisions.StoredAnswer(answer.status, tuple(headers), bytes(held))
+        headers = [h for h in response.headers if h[0] != b"content-length"]
+        headers.append((b"content-length", str(len(buffered)).encode()))
+        return decisions.StoredAnswer(response.status, tuple(headers), bytes(buffered))
 
     @staticmethod
-    async def _stream(execution, answer, held):
-        if not execution.first_waits:
-            await answer.aclose()
+    async def _stream_response(execution, response, buffered):
+        if not execution.first_caller_waits:
+            await response.aclose()
             return
-        body = PrefixedBody(held, answer.body)
-        execution.streamed = dataclasses.replace(answer, body=body)
+        body = PrefixedBody(buffered, response.body)
+        execution.streamed_response = dataclasses.replace(response, body=body)
 
 
 class PrefixedBody:
-    """A body whose first bytes have been read already.
+    """A body whose first bytes have already been read.
 
-    :param prefix: the bytes read.
-    :param rest: the body that goes on.
+    :param prefix: the bytes already read.
+    :param rest: the body after these bytes.
     """
 
     def __init__(self, prefix, rest):
@@ -149,21 +174,27 @@
         return await anext(self._rest)
 
     async def aclose(self):
-        """Give up the rest."""
+        """Close the body without reading the rest."""
         await self._rest.aclose()
 
 
 def check_fingerprint(request, fingerprint):
-    """Refuse a key that comes with another request than the first time."""
+    """Check that a resend is the same request as the first one of its key.
+
+    :raises RequestError: if the fingerprints differ.
+    """
     if fingerprint and request.fingerprint() != fingerprint:
         raise errors.RequestError.not_run(
             errors.Code.KEY_REUSED,
-            "this key was used for another request; this one was not run",
+            "the key was used for a different request; this request was not run",
         )
 
 
-def answer_of(outcome):
-    """Return the answer of a final outcome, or raise its error."""
+def response_of_outcome(outcome):
+    """Return the response of a final outcome.
+
+    :raises RequestError: if the outcome is an error.
+    """
     if isinstance(outcome, errors.RequestError):
         raise outcome
     failed = outcome.status >= 500
--- a/boragegw/entry/_race.py
+++ b/boragegw/entry/_race.py
@@ -1,112 +1,129 @@
-"""An idempotent request's attempt, its hedge, and the test of a silent connection."""
+"""Attempts of idempotent requests with hedging and detection of dead connections."""
 
 import asyncio
 
 from boragegw import backends, errors
 
 
-class Race:
-    """Runs one attempt and perhaps a second one; the first good answer wins.
+class HedgedAttempt:
+    """Runs an attempt and, if it is slow, a hedge; the first response is used.
 
-    The first attempt runs in the caller's own task and timers stand by: most requests
-    end before any of them, and a task for each would cost more than the request.
+    The first attempt runs in the task of the caller, and timers start the hedge and
+    the probe. Most attempts end before either timer expires, and a task for each
+    attempt would cost more than the request.
 
-    :param attempt: async function (backend, reason, fresh) that returns an answer.
-    :param hedge: function that returns a backend server for the hedge, or ``None``.
-    :param is_responsive: async function: does a new connection to a backend work?
-    :param hedge_delay: seconds, or ``None`` for no hedge.
-    :param stall: seconds without an answer after which the connection is tested.
-    :param start_task: starts background tasks.
+    :param attempt: async function (backend, reason, fresh) that returns a response.
+    :param acquire_hedge_backend: function that reserves capacity for the hedge
+        and returns its backend server, or ``None``.
+    :param is_responsive: async function (backend) that returns whether the backend
+        server answers over a new connection.
+    :param hedge_delay: seconds after which the hedge starts, or ``None`` for no hedge.
+    :param stall_timeout: seconds without a response after which the backend server
+        is probed.
+    :param start_task: function (coroutine, name) that starts a background task.
     """
 
-    def __init__(self, attempt, hedge, is_responsive, hedge_delay, stall, start_task):
+    def __init__(
+        self,
+        attempt,
+        acquire_hedge_backend,
+        is_responsive,
+        hedge_delay,
+        stall_timeout,
+        start_task,
+    ):
         self.attempt = attempt
-        self.hedge = hedge
+        self.acquire_hedge_backend = acquire_hedge_backend
         self.is_responsive = is_responsive
         self.hedge_delay = hedge_delay
-        self.stall = stall
+        self.stall_timeout = stall_timeout
         self.start_task = start_task
         self._hedge_task = None
-        self._limit = None
+        self._first_timeout = None
 
     async def run(self, backend, reason, fresh):
-        """Return the winning answer.
+        """Return the response that arrives first.
 
-        :raises AttemptError: of the first attempt, if none won.
+        :param reason: why the request is sent: "first" or "retry".
+        :param fresh: whether to use a new connection.
+        :raises AttemptError: of the first attempt, if no attempt succeeded.
         """
         timers = self._start_timers(backend)
         try:
-            return await self._first_answer(backend, reason, fresh)
+            return await self._first_response(backend, reason, fresh)
         finally:
             for timer in timers:
                 timer.cancel()
-            self._end_hedge()
+            self._cancel_hedge()
 
     def _start_timers(self, backend):
         loop = asyncio.get_running_loop()
-        timers = [loop.call_later(self.stall, self._start_test, backend)]
+        timers = [loop.call_later(self.stall_timeout, self._start_probe, backend)]
         if self.hedge_delay is not None:
             timers.append(loop.call_later(self.hedge_delay, self._start_hedge))
         return timers
 
-    async def _first_answer(self, backend, reason, fresh):
+    async def _first_response(self, backend, reason, fresh):
         try:
-            async with asyncio.timeout(None) as self._limit:
+            async with asyncio.timeout(None) as self._first_timeout:
                 return await self.attempt(backend, reason, fresh)
         except TimeoutError:
-            failure = backends.AttemptError(
+            first_error = backends.AttemptError(
                 backends.Failure.SILENT,
                 errors.Verdict.MAY_HAVE_RUN,
-                f"{backend.name}: the connection has gone silent",
+                f"{backend.name}: the connection stopped responding",
             )
         except backends.AttemptError as error:
-            failure = error
+            first_error = error
         if self._hedge_task is None:
-            raise failure
-        return await self._hedge_answer(failure)
+            raise first_error
+        return await self._hedge_response(first_error)
 
-    async def _hedge_answer(self, failure):
+    async def _hedge_response(self, first_error):
         task = self._hedge_task
         try:
-            answer = await task
+            response = await task
         except backends.AttemptError:
-            raise failure from None
+            raise first_error from None
         self._hedge_task = None
-        return answer
+        return response
 
-    def _give_up_first(self):
-        """End the first attempt, which the hedge or a new connection replaces."""
-        self._limit.reschedule(asyncio.get_running_loop().time())
+    def _cancel_first_attempt(self):
+        """End the first attempt, which a hedge or a new connection replaces."""
+        self._first_timeout.reschedule(asyncio.get_running_loop().time())
 
     def _start_hedge(self):
-        backend = self.hedge()
+        backend = self.acquire_hedge_backend()
         if backend is None:
             return
         loop = asyncio.get_running_loop()
         self._hedge_task = loop.create_task(self.attempt(backend, "hedge", False))
-        self._hedge_task.add_done_callback(self._hedge_done)
+        self._hedge_task.add_done_callback(self._on_hedge_done)
 
-    def _hedge_done(self, task):
+    def _on_hedge_done(self, task):
         won = not task.cancelled() and task.exception() is None
         if won and self._hedge_task is task:
-            self._give_up_first()
+            self._cancel_first_attempt()
 
-    def _start_test(self, backend):
-        self.start_task(self._test(backend), "test connection")
+    def _start_probe(self, backend):
+        self.start_task(self._probe_backend(backend), "probe stalled connection")
 
-    async def _test(self, backend):
-        """Send again on a new connection if the old one alone has gone silent."""
-        if await self.is_responsive(backend) and self._limit.when() is None:
-            self._give_up_first()
+    async def _probe_backend(self, backend):
+        """End the first attempt if its backend server answers over a new connection.
 
-    def _end_hedge(self):
+        The request is then sent again over a new connection.
+        """
+        if await self.is_responsive(backend) and self._first_timeout.when() is None:
+            self._cancel_first_attempt()
+
+    def _cancel_hedge(self):
         task, self._hedge_task = self._hedge_task, None
         if task is not None and not task.cancel():
-            self._close_result(task)
+            self._close_losing_response(task)
         elif task is not None:
-            task.add_done_callback(self._close_result)
+            task.add_done_callback(self._close_losing_response)
 
-    def _close_result(self, task):
-        """Close the answer of an attempt that lost at the last moment."""
+    def _close_losing_response(self, task):
+        """Close the response of a hedge that completed but is not used."""
         if not task.cancelled() and task.exception() is None:
-            self.start_task(task.result().aclose(), "close losing answer")
+            self.start_task(task.result().aclose(), "close unused response")
--- a/boragegw/entry/tests/histories.py
+++ b/boragegw/entry/tests/histories.py
@@ -1,4 +1,4 @@
-"""Runs of concurrent filings under a schedule of faults, recorded as histories."""
+"""Runs concurrent filings under a schedule of faults and records their histories."""
 
 import asyncio
 import dataclasses
@@ -6,8 +6,8 @@
 
 from boragegw import errors, server, standins
 
-ENTRIES = 4
-LENGTH = 3.0
+ENTRY_COUNT = 4
+DURATION_SECONDS = 3.0
 
 FAULTS = {
     "entry dies": lambda run, n: run.kill(n),
@@ -15,19 +15,25 @@
     "entry is replaced as planned": lambda run, n: run.replace(n),
     "entry is cut off": lambda run, n: run.cut_entry(n),
     "partition between data centres": lambda run, n: run.partition(n),
-    "backend server crashes before it runs": lambda run, n: run.spoil(
+    "backend server crashes before it runs": lambda run, n: run.inject_server_faults(
         n, "crash_before"
     ),
-    "backend server crashes after it ran": lambda run, n: run.spoil(n, "crash_after"),
-    "answer is lost": lambda run, n: run.spoil(n, "lose_answer"),
-    "answer is late": lambda run, n: run.spoil(n, "late_answer"),
-    "answer is crossed": lambda run, n: run.spoil(n, "crossed_answer"),
-    "answer is truncated": lambda run, n: run.spoil(n, "truncate_answer"),
-    "connections go silent": lambda run, n: run.silence(n),
-    "backend server refuses": lambda run, n: run.switch(n, "refuse"),
+    "backend server crashes after it ran": lambda run, n: run.inject_server_faults(
+        n, "crash_after"
+    ),
+    "answer is lost": lambda run, n: run.inject_server_faults(n, "lose_answer"),
+    "answer is late": lambda run, n: run.inject_server_faults(n, "late_answer"),
+    "answer is crossed": lambda run, n: run.inject_server_faults(n, "crossed_answer"),
+    "answer is truncated": lambda run, n: run.inject_server_faults(
+        n, "truncate_answer"
+    ),
+    "connections go silent": lambda run, n: run.silence_connections(n),
+    "backend server refuses": lambda run, n: run.set_server_fault_briefly(n, "refuse"),
     "backend server slows down": lambda run, n: run.slow_down(n),
-    "backend server drains": lambda run, n: run.switch(n, "draining"),
-    "backend server fails fast": lambda run, n: run.switch(n, "fail_fast"),
+    "backend server drains": lambda run, n: run.set_server_fault_briefly(n, "draining"),
+    "backend server fails fast": lambda run, n: run.set_server_fault_briefly(
+        n, "fail_fast"
+    ),
     "backend server turns cold": lambda run, n: run.turn_cold(n),
     "request crashes its server": lambda run, n: run.poison(n),
     "platform is down": lambda run, n: run.platform_down(),
@@ -37,13 +43,19 @@
 
 @dataclasses.dataclass
 class Outcome:
+    """The history of a run: executions, responses, and which entries recovered."""
+
     runs: list
     answers: list
     recovered: list
 
 
 class HistoryRun:
-    """One run: callers, faults, and the recorded history."""
+    """One run of a fleet with callers, injected faults and the recorded history.
+
+    :param schedule: (seconds after the start, name of the fault, number that selects
+        the target) for each fault.
+    """
 
     def __init__(self, seed, schedule):
         self.seed = seed
@@ -56,10 +68,12 @@
             "deadline_ms": 1500,
             "queue_limit": 2,
         }
-        shape = standins.ServiceShape("filing", 4, 2, document, cold_seconds=0.2)
+        service_shape = standins.ServiceShape(
+            "filing", 4, 2, document, cold_seconds=0.2
+        )
         self.fleet = standins.VirtualFleet(
-            [shape],
-            ENTRIES,
+            [service_shape],
+            ENTRY_COUNT,
             seed,
             lambda index: entry_parameters(),
             loss=0.02,
@@ -70,29 +84,34 @@
         loop = asyncio.get_running_loop()
         start = loop.time()
         faults = [
-            loop.create_task(self._strike(start + at, name, target))
+            loop.create_task(self._inject_fault(start + at, name, target))
             for at, name, target in self.schedule
         ]
         callers = [
-            loop.create_task(self._call(number, start + LENGTH)) for number in range(12)
+            loop.create_task(self._run_caller(number, start + DURATION_SECONDS))
+            for number in range(12)
         ]
         await asyncio.gather(*callers)
         for fault in faults:
             fault.cancel()
         await asyncio.gather(*faults, return_exceptions=True)
         self.fleet.world.heal()
-        for index in range(ENTRIES):
+        for index in range(ENTRY_COUNT):
             self.fleet.world.wake(self.fleet.peer_address(index))
         await asyncio.sleep(6.0)
-        recovered = [await self._serves(index) for index in sorted(self.fleet.entries)]
+        recovered = [
+            await self._serves_new_filing(index) for index in sorted(self.fleet.entries)
+        ]
         await self.fleet.close()
         return Outcome(self.fleet.log, self.answers, recovered)
 
-    async def _serves(self, index):
-        """Return whether an entry serves a new filing after all faults are over."""
+    async def _serves_new_filing(self, index):
+        """Return whether an entry serves a new filing after all faults have ended."""
         try:
-            found = self.fleet.entries[index].directory.lookup("filing", "after")
-            key = f"{found.lease}.after-{index}"
+            entries_response = self.fleet.entries[index].directory.lookup(
+                "filing", "after"
+            )
+            key = f"{entries_response.lease}.after-{index}"
             target = f"/after/{index}"
             answer, _ = await self.fleet.request(
                 index, "filing", "POST", target, b"x", key, deadline=5.0
@@ -101,8 +120,8 @@
             return False
         return answer.status == 200
 
-    async def _strike(self, moment, name, target):
-        await asyncio.sleep(moment - asyncio.get_running_loop().time())
+    async def _inject_fault(self, time, name, target):
+        await asyncio.sleep(time - asyncio.get_running_loop().time())
         result = FAULTS[name](self, target)
         if result is not None:
             await result
@@ -111,31 +130,31 @@
         servers = list(self.fleet.servers.values())
         return servers[number % len(servers)]
 
-    def _index(self, number):
+    def _live_index(self, number):
         live = sorted(self.fleet.entries)
         return live[number % len(live)] if live else None
 
     async def kill(self, number):
-        index = self._index(number)
+        index = self._live_index(number)
         if len(self.fleet.entries) > 1:
             await self.fleet.kill(index)
             await asyncio.sleep(0.3)
             await self.fleet.make_entry(index).start()
 
     async def pause(self, number):
-        address = self.fleet.peer_address(self._index(number))
+        address = self.fleet.peer_address(self._live_index(number))
         self.fleet.world.pause(address)
         await asyncio.sleep(0.7)
         self.fleet.world.wake(address)
 
     async def replace(self, number):
-        index = self._index(number)
+        index = self._live_index(number)
         if len(self.fleet.entries) > 1:
             await self.fleet.stop_gracefully(index)
             await self.fleet.make_entry(index).start()
 
     async def cut_entry(self, number):
-        address = self.fleet.peer_address(self._index(number))
+        address = self.fleet.peer_address(self._live_index(number))
         self.fleet.world.cut_entry(address)
         await asyncio.sleep(0.6)
         self.fleet.world.cut_pairs.discard(address)
@@ -146,15 +165,15 @@
         await asyncio.sleep(0.8)
         self.fleet.world.cut_pairs.discard(frozenset(pair))
 
-    def spoil(self, number, fault):
+    def inject_server_faults(self, number, fault):
         faults = self._server(number).faults
         setattr(faults, fault, getattr(faults, fault) + 2)
 
-    def silence(self, number):
+    def silence_connections(self, number):
         for transport in self.fleet.transports.values():
             transport.silence_connections(self._server(number).name)
 
-    async def switch(self, number, fault):
+    async def set_server_fault_briefly(self, number, fault):
         setattr(self._server(number).faults, fault, True)
         await asyncio.sleep(0.4)
         setattr(self._server(number).faults, fault, False)
@@ -163,7 +182,7 @@
         self._server(number).turn_cold()
 
     async def poison(self, number):
-        """Make one caller's requests crash each server that runs them."""
+        """Make the requests of one caller crash each server that runs them."""
         path = f"/caller-{number}/"
         for server_ in self.fleet.servers.values():
             server_.faults.poison = path
@@ -186,33 +205,33 @@
         await asyncio.sleep(0.6)
         self.fleet.state.publish_recalls([])
 
-    async def _call(self, number, end):
+    async def _run_caller(self, number, end):
         loop = asyncio.get_running_loop()
-        count = 0
+        sequence = 0
         while loop.time() < end:
-            count += 1
+            sequence += 1
             await asyncio.sleep(self.random_state.expovariate(1 / 0.03))
-            await self._file(f"caller-{number}", count)
+            await self._submit_filing(f"caller-{number}", sequence)
 
-    async def _file(self, caller, count):
-        index = self._index(self.random_state.randrange(ENTRIES))
+    async def _submit_filing(self, caller, sequence):
+        index = self._live_index(self.random_state.randrange(ENTRY_COUNT))
         if index is None:
             return
         try:
             lease = self.fleet.entries[index].directory.lookup("filing", caller).lease
         except errors.RequestError:
             return
-        key = f"{lease}.{caller}-{count}"
+        key = f"{lease}.{caller}-{sequence}"
         sends = []
         for _ in range(self.random_state.choice((1, 1, 2, 3))):
-            sends.append(asyncio.create_task(self._send(key, f"/{caller}/{count}")))
-            wait = self.random_state.choice((0.0, 0.02, 0.3))
-            await asyncio.sleep(wait)
+            sends.append(asyncio.create_task(self._send(key, f"/{caller}/{sequence}")))
+            delay = self.random_state.choice((0.0, 0.02, 0.3))
+            await asyncio.sleep(delay)
         await asyncio.gather(*sends)
 
     async def _send(self, key, target):
         loop = asyncio.get_running_loop()
-        index = self._index(self.random_state.randrange(ENTRIES))
+        index = self._live_index(self.random_state.randrange(ENTRY_COUNT))
         try:
             async with asyncio.timeout(2.5):
                 answer, body = await self.fleet.request(
--- a/boragegw/entry/tests/test_faults.py
+++ b/boragegw/entry/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""One failure at a time, in virtual time: what a user would see, and the guard."""
+"""Single faults in virtual time and their effect on callers."""
 
 import asyncio
 import collections
@@ -17,11 +17,14 @@
 
 def run_fleet(scenario, backends=6, entries=6, document=None, **shape):
     async def run():
-        made = standins.ServiceShape(
+        service_shape = standins.ServiceShape(
             "filing", backends, 2, {**DOCUMENT, **(document or {})}, **shape
         )
         fleet = standins.VirtualFleet(
-            [made], entries, 2, lambda index: server.NodeParameters(silence=1.0)
+            [service_shape],
+            entries,
+            2,
+            lambda index: server.NodeParameters(silence=1.0),
         )
         await fleet.start()
         result = await scenario(fleet)
@@ -31,51 +34,51 @@
     return utils.run_virtual(run())
 
 
-def serving(fleet, caller="caller"):
-    """Return the index of the entry that a caller uses first, and its lease.
+def preferred_entry(fleet, caller="caller"):
+    """Return the index of the entry that a caller prefers, and its lease.
 
-    Callers keep the answer that they were given.
+    Both are cached for each caller.
     """
-    kept = vars(fleet).setdefault("kept", {})
-    if caller not in kept:
+    cached = vars(fleet).setdefault("kept", {})
+    if caller not in cached:
         found = fleet.entries[0].directory.lookup("filing", caller)
         addresses = {
             node.board.identity.caller_address: index
             for index, node in fleet.entries.items()
         }
-        kept[caller] = addresses[found.entries[0]], found.lease
-    return kept[caller]
+        cached[caller] = addresses[found.entries[0]], found.lease
+    return cached[caller]
 
 
 async def get(fleet, target, index=None, deadline=5.0):
-    index = serving(fleet)[0] if index is None else index
+    index = preferred_entry(fleet)[0] if index is None else index
     return await fleet.request(index, "filing", "GET", target, deadline=deadline)
 
 
 async def post(fleet, target, number=1, caller="caller", deadline=5.0):
-    index, lease = serving(fleet, caller)
+    index, lease = preferred_entry(fleet, caller)
     key = f"{lease}.{caller}-{number}"
     return await fleet.request(
         index, "filing", "POST", target, b"x", key, deadline=deadline
     )
 
 
-async def many(requests):
-    """Run requests at once and count their statuses."""
-    answers = await asyncio.gather(*requests)
-    return collections.Counter(answer.status for answer, _ in answers)
+async def count_statuses(requests):
+    """Run requests concurrently and count the statuses of their responses."""
+    responses = await asyncio.gather(*requests)
+    return collections.Counter(response.status for response, _ in responses)
 
 
-def generations(fleet):
+def count_restarts(fleet):
     return sum(backend.generation - 1 for backend in fleet.servers.values())
 
 
 @pytest.mark.parametrize(("method", "most"), [("GET", 2), ("POST", 1)])
 def test_request_that_crashes_its_server_is_quarantined(method, most):
-    """One return fells the whole filing service, server by server.
+    """A request that crashes its server must not take down the whole service.
 
-    Each backend server that runs it crashes; the caller sends it again and again, with
-    a new key each time, to one entry after the other.
+    Each backend server that runs the request crashes. The caller resends it to one
+    entry after another, each time with a new key.
     """
 
     async def scenario(fleet):
@@ -84,15 +87,15 @@
         codes = []
         for number in range(8):
             if method == "GET":
-                answer, body = await get(fleet, "/poison", number % 6)
+                response, body = await get(fleet, "/poison", number % 6)
             else:
-                answer, body = await post(
+                response, body = await post(
                     fleet, "/poison", number, caller=f"caller-{number}"
                 )
-            codes.append(dict(answer.headers)[b"boragegw-code"].decode())
+            codes.append(dict(response.headers)[b"boragegw-code"].decode())
             await asyncio.sleep(0.3)
         healthy, _ = await get(fleet, "/healthy")
-        return codes, generations(fleet), healthy.status
+        return codes, count_restarts(fleet), healthy.status
 
     codes, crashes, healthy = run_fleet(scenario)
     assert crashes <= most
@@ -101,10 +104,10 @@
 
 
 def test_fingerprint_of_a_streamed_body_stays_the_same_while_it_is_sent():
-    """A large upload that crashes its servers is never quarantined.
+    """A streamed upload that crashes its servers must be quarantined.
 
-    The quarantine was noted under the digest of all bytes sent so far, and looked up
-    under that of the first part, which is all there is before the sending.
+    If the fingerprint were taken after sending, it would cover more bytes than the one
+    that a resend is looked up by, which covers only the prefetched part.
     """
 
     async def parts():
@@ -116,34 +119,36 @@
         body = messages.Body(parts())
         await body.prefetch()
         request = messages.Request("id", "filing", "PUT", "/x", [], body, 9e9)
-        note = blackboard.RequestRecord("id", "filing", "PUT", "/x", True, 0.0)
+        request_record = blackboard.RequestRecord(
+            "id", "filing", "PUT", "/x", True, 0.0
+        )
         service = node.board.services["filing"]
-        call = node.executor._call(request, service, True, note)
-        before = call.known_fingerprint()
+        state = node.executor._initial_state(request, service, True, request_record)
+        before = state.stable_fingerprint()
         async for _ in body.chunks():
             pass
-        return before, call.known_fingerprint(), request.fingerprint()
+        return before, state.stable_fingerprint(), request.fingerprint()
 
-    before, after, of_all = run_fleet(scenario)
+    before, after, whole_body = run_fleet(scenario)
     assert before == after
-    assert before != of_all
+    assert before != whole_body
 
 
-def test_silent_connections_are_found_and_the_request_sent_again():
-    """Status pages hang until their deadline although all servers are well.
+def test_dead_connections_are_detected_and_the_request_is_retried():
+    """Requests must not wait until their deadline on connections that stopped working.
 
-    Something between the ends has lost track of the open connections; new ones work.
+    A middlebox has lost the state of the open connections, while new connections work.
     """
 
     async def scenario(fleet):
-        index = serving(fleet)[0]
-        await many(get(fleet, f"/{i}", index) for i in range(12))
+        index = preferred_entry(fleet)[0]
+        await count_statuses(get(fleet, f"/{i}", index) for i in range(12))
         for name in fleet.servers:
             fleet.transports[index].silence_connections(name)
         loop = asyncio.get_running_loop()
         started = loop.time()
-        answer, _ = await get(fleet, "/again", index)
-        return answer.status, loop.time() - started
+        response, _ = await get(fleet, "/again", index)
+        return response.status, loop.time() - started
 
     status, elapsed = run_fleet(scenario, document={"hedge_budget": 0.0})
     assert status == 200
@@ -151,19 +156,19 @@
 
 
 def test_slow_server_is_hedged_for_idempotent_requests_only():
-    """A noisy neighbour slows a server a hundredfold; status checks must not wait."""
+    """Idempotent requests must not wait for a server slowed 100-fold by a neighbour."""
 
     async def scenario(fleet):
-        index = serving(fleet)[0]
+        index = preferred_entry(fleet)[0]
         for _ in range(10):
-            await many(get(fleet, f"/{i}", index) for i in range(6))
+            await count_statuses(get(fleet, f"/{i}", index) for i in range(6))
         slow = next(iter(fleet.servers.values()))
         for backend in fleet.servers.values():
             backend.faults.slow_factor = 100.0 if backend is slow else 1.0
         before = len(fleet.log)
-        await many(get(fleet, f"/g{i}", index) for i in range(4))
+        await count_statuses(get(fleet, f"/g{i}", index) for i in range(4))
         hedged = fleet.entries[index].board.counters["requests.hedged"]
-        await many(post(fleet, f"/p{i}", i) for i in range(4))
+        await count_statuses(post(fleet, f"/p{i}", i) for i in range(4))
         keys = [run.key for run in fleet.log[before:] if run.key]
         return hedged, keys
 
@@ -172,10 +177,11 @@
     assert len(keys) == len(set(keys)) == 4
 
 
-def test_fail_fast_server_does_not_draw_the_work():
-    """Half of all filings fail at once while five of six servers are well.
+def test_fail_fast_server_does_not_attract_requests():
+    """A server that fails fast must not attract a growing share of the requests.
 
-    One server answers 500 in no time, looks idle and is chosen again and again.
+    One of six servers responds with 500 immediately and so always looks idle. Without
+    ejection half of all filings would fail.
     """
 
     async def scenario(fleet):
@@ -183,8 +189,8 @@
         bad.faults.fail_fast = True
         statuses = collections.Counter()
         for number in range(60):
-            answer, _ = await get(fleet, f"/{number}", 0)
-            statuses[answer.status] += 1
+            response, _ = await get(fleet, f"/{number}", 0)
+            statuses[response.status] += 1
             await asyncio.sleep(0.01)
         return statuses
 
@@ -192,48 +198,50 @@
     assert statuses[200] >= 54
 
 
-def test_draining_server_gets_no_new_work_and_finishes_what_it_has():
+def test_draining_server_gets_no_new_requests_and_finishes_its_own():
     async def scenario(fleet):
         leaving = next(iter(fleet.servers.values()))
-        index = serving(fleet)[0]
-        work = [asyncio.create_task(get(fleet, f"/{i}", index)) for i in range(12)]
+        index = preferred_entry(fleet)[0]
+        requests = [asyncio.create_task(get(fleet, f"/{i}", index)) for i in range(12)]
         await asyncio.sleep(0.002)
         leaving.faults.draining = True
-        statuses = await many(work)
-        await many(get(fleet, f"/more{i}", index) for i in range(12))
+        statuses = await count_statuses(requests)
+        await count_statuses(get(fleet, f"/more{i}", index) for i in range(12))
         await asyncio.sleep(0.5)
         received = leaving.received
         for index in fleet.entries:
-            await many(get(fleet, f"/later{i}", index) for i in range(6))
+            await count_statuses(get(fleet, f"/later{i}", index) for i in range(6))
         return statuses, leaving.received - received
 
-    statuses, late = run_fleet(scenario)
+    statuses, received_after_drain = run_fleet(scenario)
     assert statuses == {200: 12}
-    assert late <= 3
+    assert received_after_drain <= 3
 
 
-def test_woken_process_does_not_send_to_what_was_recalled_meanwhile():
-    """A data centre was recalled minutes ago and suddenly gets filings again.
+def test_resumed_process_does_not_send_to_a_recalled_server():
+    """A recalled data centre must get no requests from a process that was suspended.
 
-    An entry process was paused with a request that already had its place there; it
-    wakes and sends. The check at the moment of sending catches it.
+    The process had reserved capacity there before it was suspended and is about to send
+    when it resumes. The check just before sending prevents it.
     """
 
     async def scenario(fleet):
-        node = fleet.entries[serving(fleet)[0]]
+        node = fleet.entries[preferred_entry(fleet)[0]]
         service = node.board.services["filing"]
         backend = node.dispatcher.try_acquire(service)
         backend.recalled = True
         request = messages.Request(
             "id", "filing", "GET", "/x", [], messages.Body(), node.clock.now() + 2.0
         )
-        note = blackboard.RequestRecord("id", "filing", "GET", "/x", True, 0.0)
-        call = node.executor._call(request, service, True, note)
+        request_record = blackboard.RequestRecord(
+            "id", "filing", "GET", "/x", True, 0.0
+        )
+        state = node.executor._initial_state(request, service, True, request_record)
         with pytest.raises(errors.BoragegwError) as caught:
-            await node.executor._attempt(call, backend, "first", False)
+            await node.executor._attempt(state, backend, "first", False)
         assert fleet.servers[backend.name].received == 0
-        answer = await node.executor.execute(request, service, True, note)
-        return caught.value.verdict, backend.own_in_flight, answer.status
+        response = await node.executor.execute(request, service, True, request_record)
+        return caught.value.verdict, backend.own_in_flight, response.status
 
     verdict, in_flight, status = run_fleet(scenario)
     assert verdict is errors.Verdict.NOT_RUN
@@ -245,24 +253,24 @@
     async def scenario(fleet):
         for backend in fleet.servers.values():
             backend.faults.slow_factor = 1000.0
-        index = serving(fleet)[0]
-        work = [
+        index = preferred_entry(fleet)[0]
+        requests = [
             asyncio.create_task(get(fleet, f"/{i}", index, deadline=1.0))
             for i in range(30)
         ]
-        answers = await asyncio.gather(*work)
+        responses = await asyncio.gather(*requests)
         ran = {run.target for run in fleet.log}
-        for number, (answer, _) in enumerate(answers):
-            if answer.verdict is errors.Verdict.NOT_RUN:
+        for number, (response, _) in enumerate(responses):
+            if response.verdict is errors.Verdict.NOT_RUN:
                 assert f"/{number}" not in ran
-        return collections.Counter(answer.verdict.value for answer, _ in answers)
+        return collections.Counter(response.verdict.value for response, _ in responses)
 
     verdicts = run_fleet(scenario, document={"hedge_budget": 0.0})
     assert verdicts["not-run"] >= 1
 
 
 def test_least_harm_is_shed_first_and_at_once():
-    """On deadline day status checks crowd out the filings that cannot wait."""
+    """Under overload status checks must not crowd out filings with a near deadline."""
     rules = [
         {"method": "POST", "path_prefix": "/", "idempotent": False, "harm": "high"},
         {"method": "GET", "path_prefix": "/", "idempotent": True, "harm": "low"},
@@ -271,55 +279,58 @@
     async def scenario(fleet):
         for backend in fleet.servers.values():
             backend.faults.slow_factor = 50.0
-        index = serving(fleet)[0]
-        checks = [asyncio.create_task(get(fleet, f"/{i}", index)) for i in range(22)]
+        index = preferred_entry(fleet)[0]
+        status_checks = [
+            asyncio.create_task(get(fleet, f"/{i}", index)) for i in range(22)
+        ]
         await asyncio.sleep(0.01)
         filings = [asyncio.create_task(post(fleet, f"/p{i}", i)) for i in range(5)]
         await asyncio.sleep(0.01)
-        shed = [task.result()[0] for task in checks if task.done()]
-        statuses = await many(filings)
-        await asyncio.gather(*checks)
+        shed = [task.result()[0] for task in status_checks if task.done()]
+        statuses = await count_statuses(filings)
+        await asyncio.gather(*status_checks)
         return shed, statuses
 
     document = {"queue_limit": 10, "requests": rules, "hedge_budget": 0.0}
     shed, statuses = run_fleet(scenario, document=document)
     assert statuses == {200: 5}
     assert len(shed) == 5
-    for answer in shed:
-        headers = dict(answer.headers)
-        assert answer.verdict is errors.Verdict.NOT_RUN
+    for response in shed:
+        headers = dict(response.headers)
+        assert response.verdict is errors.Verdict.NOT_RUN
         assert int(headers[b"retry-after"]) >= 1
 
 
-def test_retries_do_not_multiply_along_the_depth():
-    """Fifteen layers each retry a failing call twice: 14 million attempts.
+def test_retries_do_not_multiply_across_layers():
+    """Retries at several layers must not multiply.
 
-    A retry tells the layers below that none is left to them.
+    Fifteen layers that each retry a failing call twice would make 14 million attempts.
+    A retry therefore tells the layers below that they have no retries left.
     """
 
     async def scenario(fleet):
-        seen = []
+        retries_left_sent = []
         transport = fleet.transports[0]
         original = transport.send
 
         async def spy(attempt):
             left = messages.find_header(attempt.headers, messages.RETRIES_LEFT_HEADER)
-            seen.append(int(left))
+            retries_left_sent.append(int(left))
             return await original(attempt)
 
         transport.send = spy
         for backend in fleet.servers.values():
             backend.faults.refuse = True
         await get(fleet, "/x", 0)
-        return seen
+        return retries_left_sent
 
-    seen = run_fleet(scenario)
-    assert seen[0] == 2
-    assert set(seen[1:]) == {0}
+    retries_left_sent = run_fleet(scenario)
+    assert retries_left_sent[0] == 2
+    assert set(retries_left_sent[1:]) == {0}
 
 
-def test_whole_service_cold_gives_callers_a_share_and_not_a_collapse():
-    """After a power cut all servers start cold and full load fells them at once."""
+def test_cold_start_of_a_whole_service_limits_load_without_collapse():
+    """Full load must not overload servers that all start cold after a power failure."""
 
     async def scenario(fleet):
         for backend in fleet.servers.values():
@@ -331,8 +342,8 @@
                 )
         statuses = collections.Counter()
         for round_ in range(40):
-            index = serving(fleet, f"caller-{round_ % 7}")[0]
-            statuses += await many(
+            index = preferred_entry(fleet, f"caller-{round_ % 7}")[0]
+            statuses += await count_statuses(
                 get(fleet, f"/{round_}-{i}", index, deadline=2.0) for i in range(4)
             )
             await asyncio.sleep(0.02)
@@ -344,11 +355,12 @@
     assert statuses[200] >= 100
 
 
-def test_fresh_entry_knows_what_is_warm_before_it_serves():
-    """Each replacement of an entry VM costs its first callers a refusal.
+def test_new_entry_knows_which_servers_are_warm_before_it_serves():
+    """A new entry must not refuse its first requests.
 
-    Unknown counts as cold. The peers told it the temperatures when they first heard of
-    it, but it was still reading its configuration and knew none of the services.
+    Backend servers of unknown temperature count as cold. Peers send the temperatures
+    when they first hear of the entry, which may still be reading its configuration and
+    then knows none of the services yet.
     """
 
     async def scenario(fleet):
@@ -357,15 +369,17 @@
         for index in range(3):
             await fleet.stop_gracefully(index)
             await fleet.make_entry(index).start()
-            statuses += await many(get(fleet, f"/{index}-{i}", index) for i in range(6))
+            statuses += await count_statuses(
+                get(fleet, f"/{index}-{i}", index) for i in range(6)
+            )
         return statuses
 
     assert run_fleet(scenario) == {200: 18}
 
 
-def test_entry_that_leaves_disappears_from_the_answers_at_once():
+def test_stopping_entry_is_removed_from_the_entry_list_at_once():
     async def scenario(fleet):
-        index, _ = serving(fleet)
+        index, _ = preferred_entry(fleet)
         address = fleet.entries[index].board.identity.caller_address
         stopping = asyncio.create_task(fleet.stop_gracefully(index))
         await asyncio.sleep(0.1)
--- a/boragegw/entry/tests/test_history.py
+++ b/boragegw/entry/tests/test_history.py
@@ -1,7 +1,7 @@
-"""Histories of concurrent filings under faults, checked as a whole.
+"""Checks recorded histories of concurrent filings against the at-most-once guarantee.
 
-A filer sends a return, hears nothing in time and sends it again with the same key to
-any entry, while entries, backend servers and the network fail in a drawn schedule.
+Callers resend filings with the same key to any entry, while entries, backend servers
+and the network fail on a generated schedule.
 """
 
 import itertools
@@ -14,12 +14,12 @@
 from boragegw.entry.tests import histories
 
 FAULTS = histories.FAULTS
-LENGTH = histories.LENGTH
+DURATION_SECONDS = histories.DURATION_SECONDS
 HistoryRun = histories.HistoryRun
 
 schedules = strategies.lists(
     strategies.tuples(
-        strategies.floats(0.0, LENGTH - 0.5),
+        strategies.floats(0.0, DURATION_SECONDS - 0.5),
         strategies.sampled_from(sorted(FAULTS)),
         strategies.integers(0, 11),
     ),
@@ -49,7 +49,7 @@
     assert any(answer.status == 200 for answer in outcome.answers)
 
 
-BRIEF_LINES = {
+FAULT_NAMES = {
     "sudden slowdown": "backend server slows down",
     "drain": "backend server drains",
     "fail fast": "backend server fails fast",
@@ -62,13 +62,13 @@
 }
 
 
-@pytest.mark.parametrize("pair", list(itertools.combinations(BRIEF_LINES, 2)), ids=str)
-def test_lines_of_what_fails_in_pairs(pair):
-    """A filer's return is lost, doubled or answered wrongly while two things fail.
+@pytest.mark.parametrize("pair", list(itertools.combinations(FAULT_NAMES, 2)), ids=str)
+def test_each_pair_of_faults_keeps_the_guarantees(pair):
+    """Two concurrent faults must not lose or duplicate a filing or mix up responses.
 
-    Each pair strikes together and then once more; afterwards every entry serves.
+    Each pair of faults is injected twice. Afterwards every entry must serve again.
     """
-    first, second = (BRIEF_LINES[line] for line in pair)
+    first, second = (FAULT_NAMES[label] for label in pair)
     schedule = [(0.3, first, 0), (0.35, second, 1), (1.5, second, 2), (1.6, first, 3)]
     outcome = utils.run_virtual(HistoryRun(11, schedule).run())
     assert standins.violations(outcome.runs, outcome.answers) == []
@@ -96,30 +96,32 @@
 SEEDS = 25
 
 
-def _run_here(self, request, lease):
-    """Defect: a resend is run by an entry that is not its home."""
+def _run_at_any_entry(self, request, lease):
+    """Defect: an entry that is not the home of a key runs its resend."""
     service = self.board.services[request.service]
-    note = self._open_note(request)
-    return self.executor.execute(request, service, False, note)
+    request_record = self._add_request_record(request)
+    return self.executor.execute(request, service, False, request_record)
 
 
-def _retry_always(self, service, *, verdict, idempotent, made, left, deadline, now):
+def _retry_unconditionally(
+    self, service, *, verdict, idempotent, made, left, deadline, now
+):
     """Defect: a non-idempotent request is retried although it may have run."""
     return made < 3 and deadline > now
 
 
-def _call_it_not_run(self, call, error):
+def _report_not_run(self, state, error):
     """Defect: a timeout is reported as not run without proof."""
     return errors.RequestError.not_run(errors.Code.DEADLINE_EXCEEDED, "defect")
 
 
-def _cross(original):
+def _swap_responses(original):
     async def send(self, attempt):
-        """Defect: an answer is given out without a look at whose it is."""
-        answer = await original(self, attempt)
-        previous = getattr(self, "previous", answer.body)
-        self.previous, answer.body = answer.body, previous
-        return answer
+        """Defect: a response is delivered to the caller of another request."""
+        response = await original(self, attempt)
+        previous = getattr(self, "previous", response.body)
+        self.previous, response.body = response.body, previous
+        return response
 
     return send
 
@@ -133,7 +135,7 @@
 
 
 def _admit_without_records(self, key, lease):
-    """Defect: a sealed table has lost its records and calls every key not run."""
+    """Defect: a sealed table without records reports every key as not run."""
     error = errors.RequestError.not_run(errors.Code.STOPPING, "defect")
     return decisions.Admission(decisions.AdmissionKind.REFUSE, error=error)
 
@@ -155,29 +157,29 @@
     ),
     "resend run by a non-home": (
         entry.RequestRouter,
-        "_at_other_home",
-        _run_here,
+        "_handle_remote_key",
+        _run_at_any_entry,
         "ran",
         HARD_SCHEDULE,
     ),
     "retry of what may have run": (
         decisions.RetryPolicy,
         "permits",
-        _retry_always,
+        _retry_unconditionally,
         "times",
         HARD_SCHEDULE,
     ),
     "not-run without proof": (
         entry.Executor,
-        "_final",
-        _call_it_not_run,
+        "_final_error",
+        _report_not_run,
         "answered not-run",
         HARD_SCHEDULE,
     ),
     "answers crossed": (
         standins.VirtualTransport,
         "send",
-        _cross(standins.VirtualTransport.send),
+        _swap_responses(standins.VirtualTransport.send),
         "expected",
         HARD_SCHEDULE,
     ),
@@ -186,14 +188,14 @@
 
 @pytest.mark.parametrize("name", sorted(DEFECTS))
 def test_checker_finds_a_seeded_defect(name, monkeypatch):
-    owner, attribute, replacement, words, schedule = DEFECTS[name]
+    owner, attribute, replacement, expected_text, schedule = DEFECTS[name]
     monkeypatch.setattr(owner, attribute, replacement)
-    found = (found_with(seed, schedule) for seed in range(SEEDS))
-    assert any(words in line for lines in found for line in lines)
+    violation_lists = (violations_of_run(seed, schedule) for seed in range(SEEDS))
+    assert any(expected_text in text for texts in violation_lists for text in texts)
 
 
-def found_with(seed, schedule):
-    """Return the violations of a run."""
+def violations_of_run(seed, schedule):
+    """Return the violations found in the history of a run."""
     outcome = utils.run_virtual(HistoryRun(seed, schedule).run())
     return standins.violations(outcome.runs, outcome.answers)
 
@@ -201,7 +203,7 @@
 @pytest.mark.parametrize("schedule", ["REFUSALS", "REPLACEMENTS"])
 def test_schedules_are_clean_without_a_defect(schedule):
     for seed in range(3):
-        assert found_with(seed, globals()[schedule]) == []
+        assert violations_of_run(seed, globals()[schedule]) == []
 
 
 def test_same_schedule_without_defect_is_clean():
