--- a/boragegw/entry/_application.py
+++ b/boragegw/entry/_caller_application.py
@@ -10,7 +10,7 @@
 import litestar.types
 
 from boragegw import errors, messages
-from boragegw.entry import _connection, _entries
+from boragegw.entry import _caller_connection, _entry_directory
 
 logger = logging.getLogger(__name__)
 
@@ -79,7 +79,7 @@
     async def serve(self, scope, receive, send):
         """Serve one ASGI request to ``/v1/services/NAME/PATH``."""
         request_id = secrets.token_hex(8)
-        connection = _connection.CallerConnection(receive)
+        connection = _caller_connection.CallerConnection(receive)
         lifecycle = self.board.lifecycle
         lifecycle.in_flight += 1
         try:
@@ -167,7 +167,7 @@
         encoding announces, so the caller cannot take the part for the whole.
         """
         headers = list(response.headers)
-        if _entries.is_draining(self.board):
+        if _entry_directory.is_draining(self.board):
             headers.append((b"connection", b"close"))
         start = {
             "type": "http.response.start",
--- a/boragegw/entry/_executor.py
+++ b/boragegw/entry/_executor.py
@@ -4,7 +4,7 @@
 import dataclasses
 
 from boragegw import backends, blackboard, decisions, errors, messages
-from boragegw.entry import _bodies, _race, _tracing
+from boragegw.entry import _hedged_attempt, _response_bodies, _tracing
 
 #: Gateway errors, after which an idempotent request is retried.
 RETRYABLE_STATUSES = frozenset((502, 503, 504))
@@ -185,7 +185,7 @@
         fresh = state.attempts_made > 0
         if not state.idempotent or not state.request.body.replayable:
             return await self._attempt_with_probe(state, backend, reason, fresh)
-        hedged_attempt = _race.HedgedAttempt(
+        hedged_attempt = _hedged_attempt.HedgedAttempt(
             lambda candidate, attempt_reason, new_connection: self._attempt(
                 state, candidate, attempt_reason, new_connection
             ),
@@ -333,10 +333,10 @@
             if not complete:
                 attempt_record.outcome += " broken off"
 
-        body = _bodies.ReleasingBody(response.body, on_end)
-        if _bodies.is_resumable(state.request, response):
+        body = _response_bodies.ReleasingBody(response.body, on_end)
+        if _response_bodies.is_resumable(state.request, response):
             etag = messages.find_header(response.headers, b"etag")
-            body = _bodies.ResumingBody(
+            body = _response_bodies.ResumingBody(
                 body, lambda offset: self._resume(state, backend, offset, etag)
             )
         return messages.Response(response.status, response.headers, body, verdict)
@@ -365,7 +365,7 @@
         )
         backend = await self._acquire(resumed_state)
         response = await self._attempt(resumed_state, backend, "resume", True)
-        if not _bodies.continues_at(response, offset, etag):
+        if not _response_bodies.continues_at(response, offset, etag):
             await response.aclose()
             raise errors.TruncatedResponseError(
                 "the content changed during the download"
--- a/boragegw/entry/_carrier.py
+++ b/boragegw/entry/_request_router.py
@@ -8,7 +8,7 @@
 import logging
 
 from boragegw import blackboard, decisions, errors, messages, peers
-from boragegw.entry import _home, _tracing
+from boragegw.entry import _at_most_once, _tracing
 
 logger = logging.getLogger(__name__)
 
@@ -210,8 +210,8 @@
         admission = sealed.admit(request.key, lease)
         if admission.kind is decisions.AdmissionKind.REFUSE:
             raise admission.error
-        _home.check_fingerprint(request, admission.record.fingerprint)
-        return _home.response_of_outcome(admission.record.outcome)
+        _at_most_once.check_fingerprint(request, admission.record.fingerprint)
+        return _at_most_once.response_of_outcome(admission.record.outcome)
 
     async def handle_forwarded(self, incarnation, request):
         """Return the response to a request that a peer forwarded to ``incarnation``.
--- a/boragegw/entry/tests/test_caller_contract.py
+++ b/boragegw/entry/tests/test_caller_contract.py
@@ -8,7 +8,7 @@
 import pytest
 
 from boragegw import server, standins
-from boragegw.entry import _application
+from boragegw.entry import _caller_application
 
 SERVICES = [
     {
@@ -341,7 +341,7 @@
     The response stalls when all buffers are full. Its capacity is reserved until it
     ends, which without a timeout would be never.
     """
-    monkeypatch.setattr(_application, "SEND_TIMEOUT_SECONDS", 0.3)
+    monkeypatch.setattr(_caller_application, "SEND_TIMEOUT_SECONDS", 0.3)
 
     async def scenario(fleet):
         for backend in fleet.backends.values():
