--- a/boragegw/entry/_executor.py
+++ b/boragegw/entry/_executor.py
@@ -97,7 +97,7 @@
         :param request_record: a :class:`~boragegw.blackboard.RequestRecord`.
         :raises RequestError: with the verdict of all attempts.
         """
-        self.policies.retries.earn(service)
+        self.policies.retries.credit(service)
         await request.body.prefetch()
         state = self._initial_state(request, service, idempotent, request_record)
         self._refuse_quarantined(state)
@@ -397,8 +397,8 @@
             state.service,
             verdict=verdict,
             idempotent=state.idempotent,
-            made=state.attempts_made,
-            left=state.request.retries_left,
+            attempts_made=state.attempts_made,
+            retries_left=state.request.retries_left,
             deadline=state.request.deadline,
             now=self.clock.now(),
         )
--- a/boragegw/entry/tests/test_history.py
+++ b/boragegw/entry/tests/test_history.py
@@ -104,10 +104,10 @@
 
 
 def _retry_unconditionally(
-    self, service, *, verdict, idempotent, made, left, deadline, now
+    self, service, *, verdict, idempotent, attempts_made, retries_left, deadline, now
 ):
     """Defect: a non-idempotent request is retried although it may have run."""
-    return made < 3 and deadline > now
+    return attempts_made < 3 and deadline > now
 
 
 def _report_not_run(self, state, error):
