--- a/boragegw/entry/_at_most_once.py
+++ b/boragegw/entry/_at_most_once.py
@@ -1,7 +1,7 @@
 """At-most-once execution of non-idempotent requests by idempotency key.
 
-The entry that issued the lease of a key is the home of the key. Only the home runs the
-request; other entries forward to it.
+Each key contains a lease, which names the entry that is the home of the key. Only the
+home runs the request; other entries forward it to the home.
 """
 
 import asyncio
--- a/boragegw/entry/_caller_application.py
+++ b/boragegw/entry/_caller_application.py
@@ -164,7 +164,8 @@
 
         The last body event is omitted if the response is truncated. The server then
         closes the caller's connection before the end that Content-Length or the chunked
-        encoding announces, so the caller cannot take the part for the whole.
+        encoding announces, so the caller cannot mistake the part for a complete
+        response.
         """
         headers = list(response.headers)
         if _entry_directory.is_draining(self.board):
--- a/boragegw/entry/_request_router.py
+++ b/boragegw/entry/_request_router.py
@@ -1,8 +1,8 @@
 """Routing of requests within the fleet of entries.
 
-An idempotent request is executed in this process. A non-idempotent one is executed by
-the home of its key, the entry that issued the key's lease, and forwarded if that is
-another process.
+An idempotent request is executed in this process. A non-idempotent request is executed
+by the home of its key, the process that the lease in the key names, and is forwarded if
+that is another process.
 """
 
 import logging
@@ -200,7 +200,7 @@
     def _home_unreachable_error(detail):
         return errors.RequestError(
             errors.Code.HOME_UNREACHABLE,
-            f"the entry that issued the key's lease cannot be reached: {detail}",
+            f"the home entry of the key cannot be reached: {detail}",
             errors.Verdict.MAY_HAVE_RUN,
             retry_after=1.0,
         )
--- a/boragegw/entry/_response_bodies.py
+++ b/boragegw/entry/_response_bodies.py
@@ -73,9 +73,9 @@
     """A download that resumes from another backend server after a truncation.
 
     A backend server or a connection may fail during a large download. Without the
-    resumption the caller would have to download all of it again, or could take the
-    part for the whole. The strong entity tag ensures that the rest belongs to the
-    same content.
+    resumption the caller would have to download all of it again, or could mistake the
+    part for the complete content. The strong entity tag ensures that the rest belongs
+    to the same content.
 
     :param body: the body of the first response.
     :param resume: async function (offset) that returns the body from ``offset`` on.
