--- a/boragegw/cli/_explain.py
+++ b/boragegw/cli/_explain.py
@@ -33,7 +33,7 @@
     parser.add_argument(
         "--around",
         type=float,
-        default=operations.AROUND,
+        default=operations.CONTEXT_SECONDS,
         metavar="SECONDS",
         help="with --logs: how far around the request state is shown (%(default)s)",
     )
@@ -48,7 +48,7 @@
     parser.add_argument(
         "--latest",
         type=int,
-        default=operations.LATEST,
+        default=operations.LATEST_LIMIT,
         metavar="COUNT",
         help="with --configurations: late processes of each version (%(default)s)",
     )
@@ -116,20 +116,20 @@
     if options.summary:
         return _show_summary(operations.summarize(logs), options.json)
     if options.configurations:
-        return _show_rollouts(operations.rollouts(logs), options)
-    story = operations.story_of(logs, options.request_id, options.around)
+        return _show_rollouts(operations.analyze_rollouts(logs), options)
+    story = operations.request_timeline(logs, options.request_id, options.around)
     if not story:
         print(f"no line names {options.request_id}", file=sys.stderr)
         return 1
     own = [line for line in story if line.fields.get("request") == options.request_id]
     for line in story:
-        print(_shown(line, line.moment - own[0].moment, options.json))
+        print(_shown(line, line.aligned_at - own[0].aligned_at, options.json))
     return 0
 
 
 def _show_summary(summary, as_json):
     if as_json:
-        for trouble in summary.troubles:
+        for trouble in summary.problems:
             print(json.dumps(dataclasses.asdict(trouble)))
         return 0
     for line in _summary_lines(summary):
@@ -149,8 +149,8 @@
     yield ""
     head = ("from second", "refused", "failed", "late")
     yield from _tables.table(head, summary.by_second())
-    if summary.left_out:
-        yield f"{summary.left_out} more that the processes did not write down"
+    if summary.omitted_lines:
+        yield f"{summary.omitted_lines} more that the processes did not write down"
 
 
 def _show_rollouts(rollouts, options):
@@ -179,10 +179,10 @@
     latest = [
         (rollout.version, *_adopter_cells(adopter))
         for rollout in rollouts.versions
-        for adopter in rollout.latest(limit)
+        for adopter in rollout.latest_adopters(limit)
     ]
     if not latest:
-        yield f"no process came {operations.LATE:g} s or more after the first"
+        yield f"no process came {operations.LATE_SECONDS:g} s or more after the first"
         return
     head = ("version", "latest process", "after s", "bytes given up", "sources left")
     yield from _tables.table(head, latest)
@@ -195,8 +195,8 @@
             f"{process}: each version {seconds:+.2f} s from the others, taken for an "
             "error of its clock and left out of its delays"
         )
-    if rollouts.left_out:
-        yield f"{rollouts.left_out} more sources left that were not written down"
+    if rollouts.omitted_lines:
+        yield f"{rollouts.omitted_lines} more sources left that were not written down"
 
 
 def _rollout_cells(rollout):
@@ -207,11 +207,11 @@
         _known(rollout.routes),
         _known(rollout.size),
         first.isoformat(timespec="milliseconds").replace("+00:00", "Z"),
-        *(f"{rollout.delay_of(share):.2f}" for share in operations.SHARES),
+        *(f"{rollout.delay_quantile(share):.2f}" for share in operations.QUANTILES),
         len(delays),
-        rollout.never(),
-        _known(rollout.dropped()),
-        _left(rollout.left()),
+        rollout.never_adopted(),
+        _known(rollout.abandoned_bytes()),
+        _left(rollout.abandoned_sources()),
     )
 
 
--- a/boragegw/operations/__init__.py
+++ b/boragegw/operations/__init__.py
@@ -4,49 +4,55 @@
 from boragegw.operations._logs import JsonLinesFormatter, configure_logging
 from boragegw.operations._metrics import METRICS, MetricsReporter
 from boragegw.operations._rollout import (
-    LATE,
-    LATEST,
-    SHARES,
+    LATE_SECONDS,
+    LATEST_LIMIT,
+    QUANTILES,
     Adopter,
     Rollout,
-    Rollouts,
-    rollouts,
+    RolloutReport,
+    analyze_rollouts,
 )
 from boragegw.operations._status import (
     SERVICE_COLUMNS,
+    build_status,
     explain_request,
     service_cells,
-    status_of,
 )
-from boragegw.operations._stories import AROUND, Line, Logs, read_logs, story_of
-from boragegw.operations._summary import Summary, Trouble, summarize
+from boragegw.operations._stories import (
+    CONTEXT_SECONDS,
+    LogLine,
+    MergedLogs,
+    read_logs,
+    request_timeline,
+)
+from boragegw.operations._summary import RequestProblem, Summary, summarize
 from boragegw.operations._traces import OpenTelemetryTracer, make_tracer
 
 __all__ = [
-    "AROUND",
-    "LATE",
-    "LATEST",
+    "CONTEXT_SECONDS",
+    "LATE_SECONDS",
+    "LATEST_LIMIT",
     "METRICS",
     "SERVICE_COLUMNS",
-    "SHARES",
+    "QUANTILES",
     "Adopter",
     "JsonLinesFormatter",
-    "Line",
-    "Logs",
+    "LogLine",
+    "MergedLogs",
     "MetricsReporter",
     "OpenTelemetryTracer",
     "OperatorApplication",
     "Rollout",
-    "Rollouts",
+    "RolloutReport",
     "Summary",
-    "Trouble",
+    "RequestProblem",
     "configure_logging",
     "explain_request",
     "make_tracer",
     "read_logs",
-    "rollouts",
+    "analyze_rollouts",
     "service_cells",
-    "status_of",
-    "story_of",
+    "build_status",
+    "request_timeline",
     "summarize",
 ]
--- a/boragegw/operations/_application.py
+++ b/boragegw/operations/_application.py
@@ -63,7 +63,7 @@
         self.is_ready = is_ready
 
     def _status(self):
-        return _status.status_of(self.board, self.clock, self.keys)
+        return _status.build_status(self.board, self.clock, self.keys)
 
     def build(self):
         """Return the ASGI application."""
--- a/boragegw/operations/_rollout.py
+++ b/boragegw/operations/_rollout.py
@@ -1,7 +1,7 @@
 """Tells from the logs of many processes when each of them got a configuration.
 
-The common clock of :class:`~boragegw.operations.Logs` takes the adoption of a version
-for one moment everywhere, which is just what is in question here. So the moments are
+The common clock of :class:`~boragegw.operations.MergedLogs` takes the adoption of a
+version for one moment everywhere, which is just what is in question here. So the moments are
 those of the machines' times of day, each taken over the whole life of a process, so
 that a jump in between does no harm. A life that differs from the others by the same
 time for each of several versions has a clock that is wrong; it is put right and named.
@@ -14,9 +14,9 @@
 import statistics
 
 #: Processes of a version that are listed as its latest.
-LATEST = 5
+LATEST_LIMIT = 5
 #: Seconds after the first process from which one counts as late.
-LATE = 1.0
+LATE_SECONDS = 1.0
 #: Seconds by which a life must differ from the others, and by which its differences
 #: may vary among versions, to be taken for an error of its clock.
 CLOCK_ERROR = 1.0
@@ -25,7 +25,7 @@
 CLOCK_VERSIONS = 2
 CLOCK_LIVES = 3
 #: Shares of the processes that adopted a version whose delays are told.
-SHARES = (0.5, 0.9, 1.0)
+QUANTILES = (0.5, 0.9, 1.0)
 #: Events that tell that an answer of a source was given up.
 LEFT_EVENTS = frozenset(("source-left", "peer-source-failed", "store-read-failed"))
 #: Events about a request that name the configuration it was served by.
@@ -70,33 +70,33 @@
         """Return the seconds of those that adopted it, in order."""
         return sorted(a.delay for a in self.adopters if a.delay is not None)
 
-    def delay_of(self, share):
+    def delay_quantile(self, share):
         """Return the seconds until ``share`` of those that adopted it had done so."""
         delays = self.delays()
         return delays[max(math.ceil(share * len(delays)), 1) - 1]
 
-    def never(self):
+    def never_adopted(self):
         """Return how many never adopted it although they logged afterwards."""
         return sum(1 for adopter in self.adopters if adopter.delay is None)
 
-    def left(self):
+    def abandoned_sources(self):
         """Return the sources left meanwhile as rows of reason and count."""
         counts = collections.Counter()
         for adopter in self.adopters:
             counts.update(adopter.left)
         return counts.most_common()
 
-    def dropped(self):
+    def abandoned_bytes(self):
         """Return the bytes of given-up answers; ``None`` if the logs do not tell."""
         return _known_sum(adopter.dropped for adopter in self.adopters)
 
-    def latest(self, limit=LATEST, late=LATE):
+    def latest_adopters(self, limit=LATEST_LIMIT, late=LATE_SECONDS):
         """Return up to ``limit`` adopters that waited ``late`` seconds or more."""
         return [a for a in self.adopters if a.waited >= late][:limit]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Rollouts:
+class RolloutReport:
     """What the logs tell of configurations.
 
     :param versions: :class:`Rollout` of each version, in order.
@@ -107,7 +107,7 @@
 
     versions: list
     clock_errors: list
-    left_out: int
+    omitted_lines: int
 
 
 @dataclasses.dataclass(slots=True)
@@ -140,27 +140,27 @@
         self.leaves = [(at + seconds, *rest) for at, *rest in self.leaves]
 
 
-def rollouts(logs):
-    """Return the :class:`Rollouts` of :class:`~boragegw.operations.Logs`."""
-    by_writer = collections.defaultdict(list)
+def analyze_rollouts(logs):
+    """Return the :class:`RolloutReport` of :class:`~boragegw.operations.MergedLogs`."""
+    by_run = collections.defaultdict(list)
     for line in logs.lines:
-        by_writer[line.writer].append(line)
-    lives = [_read_life(lines) for lines in by_writer.values()]
+        by_run[line.process_run].append(line)
+    lives = [_read_life(lines) for lines in by_run.values()]
     errors = list(_clock_errors(lives))
     for life, error in errors:
         life.move(-error)
     versions = {version for life in lives for _, version, _ in life.adoptions}
-    return Rollouts(
+    return RolloutReport(
         versions=[_rollout(version, lives) for version in sorted(versions)],
         clock_errors=sorted((life.process, life.number, e) for life, e in errors),
-        left_out=sum(_left_out(line) for line in logs.lines),
+        omitted_lines=sum(_count_omitted(line) for line in logs.lines),
     )
 
 
 def _read_life(lines):
     """Return the :class:`_Life` that one writer's lines tell of."""
     shift = statistics.median(line.time - line.at for line in lines)
-    life = _Life(*lines[0].writer, max(line.at for line in lines) + shift)
+    life = _Life(*lines[0].process_run, max(line.at for line in lines) + shift)
     for line in sorted(lines, key=lambda line: line.at):
         _note(life, line, line.at + shift)
     return life
@@ -184,7 +184,7 @@
     return value if isinstance(value, int) and not isinstance(value, bool) else None
 
 
-def _left_out(line):
+def _count_omitted(line):
     if line.event != "left-out":
         return 0
     return line.fields.get("lines", {}).get("source-left", 0)
--- a/boragegw/operations/_status.py
+++ b/boragegw/operations/_status.py
@@ -79,7 +79,7 @@
     }
 
 
-def status_of(board, clock, keys):
+def build_status(board, clock, keys):
     """Return the status document of this entry and what it knows of the others."""
     now = clock.now()
     members = [_own_row(board, now)]
--- a/boragegw/operations/_stories.py
+++ b/boragegw/operations/_stories.py
@@ -12,7 +12,7 @@
 
 #: Seconds around the request's own lines in which lines about the same backend servers
 #: and about the process's state are shown.
-AROUND = 2.0
+CONTEXT_SECONDS = 2.0
 #: Events about one request that name it in another field than ``request``.
 STATE_EVENTS = frozenset(
     (
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Line:
+class LogLine:
     """One line of a log.
 
     :param life: number of the process's start that wrote it.
@@ -50,10 +50,10 @@
     time: float
     event: str
     fields: dict
-    moment: float = 0.0
+    aligned_at: float = 0.0
 
     @property
-    def writer(self):
+    def process_run(self):
         """The process's life that wrote it: its steady clock is its own."""
         return self.process, self.life
 
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Logs:
+class MergedLogs:
     """Lines of several processes on one clock.
 
     :param unreadable: lines that are no JSON object of this log.
@@ -74,7 +74,7 @@
 
 
 def read_logs(texts):
-    """Return the :class:`Logs` in an iterable of lines of text, in any order of files.
+    """Return the :class:`MergedLogs` of an iterable of lines, in any order of files.
 
     What stands before the first ``{`` of a line is left out: collectors put their own
     time and host there.
@@ -91,8 +91,8 @@
         else:
             lines.append(line)
     _align(lines)
-    lines.sort(key=lambda line: line.moment)
-    return Logs(lines, unreadable)
+    lines.sort(key=lambda line: line.aligned_at)
+    return MergedLogs(lines, unreadable)
 
 
 def _line(text, lives):
@@ -107,7 +107,7 @@
         return None
     if event == "start":
         lives[process] += 1
-    return Line(process, lives[process], at, time, event, row)
+    return LogLine(process, lives[process], at, time, event, row)
 
 
 def _align(lines):
@@ -117,17 +117,17 @@
     configurations with it is shifted by the median difference; any other one by the
     difference of the two times of day.
     """
-    by_writer = collections.defaultdict(list)
+    by_run = collections.defaultdict(list)
     for line in lines:
-        by_writer[line.writer].append(line)
-    if not by_writer:
+        by_run[line.process_run].append(line)
+    if not by_run:
         return
-    reference = max(by_writer.values(), key=len)
+    reference = max(by_run.values(), key=len)
     adopted = _adoptions(reference)
-    for own in by_writer.values():
+    for own in by_run.values():
         shift = _shift(own, reference, adopted)
         for line in own:
-            line.moment = line.at + shift
+            line.aligned_at = line.at + shift
 
 
 def _adoptions(lines):
@@ -151,7 +151,7 @@
     return offset - statistics.median(line.time - line.at for line in reference)
 
 
-def story_of(logs, request_id, around=AROUND):
+def request_timeline(logs, request_id, around=CONTEXT_SECONDS):
     """Return the lines that tell what happened to a request, in order.
 
     They are its own lines, and within ``around`` seconds of them what its processes
@@ -160,8 +160,8 @@
     own = [line for line in logs.lines if line.fields.get("request") == request_id]
     if not own:
         return []
-    first = own[0].moment - around
-    last = own[-1].moment + around
+    first = own[0].aligned_at - around
+    last = own[-1].aligned_at + around
     processes = {line.process for line in own}
     servers = set(_servers_of(own))
     return [
@@ -169,7 +169,7 @@
         for line in logs.lines
         if line in own
         or (
-            first <= line.moment <= last
+            first <= line.aligned_at <= last
             and (
                 (line.event in STATE_EVENTS and line.process in processes)
                 or (line.mentions(servers) and "request" not in line.fields)
--- a/boragegw/operations/_summary.py
+++ b/boragegw/operations/_summary.py
@@ -4,11 +4,11 @@
 import dataclasses
 
 #: Seconds that share a row.
-STEP = 2.0
+STEP_SECONDS = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Trouble:
+class RequestProblem:
     """One request that ended badly, as its process logged it.
 
     :param second: start of its step, in seconds after the first line of the logs.
@@ -26,26 +26,26 @@
 class Summary:
     """What the logs tell of requests that ended badly.
 
-    :param troubles: list of :class:`Trouble`, in order.
+    :param troubles: list of :class:`RequestProblem`, in order.
     :param left_out: lines of such requests that the processes did not write.
     """
 
-    troubles: list
-    left_out: int
+    problems: list
+    omitted_lines: int
 
     def count(self, *fields):
         """Return rows of the values of ``fields`` and a count, the largest first."""
         counts = collections.Counter(
-            tuple(getattr(trouble, field) for field in fields)
-            for trouble in self.troubles
+            tuple(getattr(problem, field) for field in fields)
+            for problem in self.problems
         )
         return [(*values, number) for values, number in counts.most_common()]
 
     def by_second(self):
         """Return rows of second, refused, failed and late, in order of time."""
         rows = collections.defaultdict(collections.Counter)
-        for trouble in self.troubles:
-            rows[trouble.second][trouble.outcome] += 1
+        for problem in self.problems:
+            rows[problem.second][problem.outcome] += 1
         outcomes = ("refused", "failed", "late")
         return [
             (second, *(rows[second][name] for name in outcomes))
@@ -53,23 +53,25 @@
         ]
 
 
-def summarize(logs, step=STEP):
-    """Return the :class:`Summary` of :class:`~boragegw.operations.Logs`.
+def summarize(logs, step=STEP_SECONDS):
+    """Return the :class:`Summary` of :class:`~boragegw.operations.MergedLogs`.
 
     :param step: seconds that share a row.
     """
-    start = min((line.moment for line in logs.lines), default=0.0)
-    troubles = []
-    left_out = 0
+    start = min((line.aligned_at for line in logs.lines), default=0.0)
+    problems = []
+    omitted_lines = 0
     for line in logs.lines:
         outcome = _outcome(line)
         if outcome is not None:
-            second = (line.moment - start) // step * step
-            troubles.append(_trouble(line, second, outcome))
+            second = (line.aligned_at - start) // step * step
+            problems.append(_request_problem(line, second, outcome))
         elif line.event == "left-out":
             counts = line.fields.get("lines", {})
-            left_out += counts.get("request-failed", 0) + counts.get("answered-late", 0)
-    return Summary(troubles, left_out)
+            omitted_lines += counts.get("request-failed", 0) + counts.get(
+                "answered-late", 0
+            )
+    return Summary(problems, omitted_lines)
 
 
 def _outcome(line):
@@ -80,11 +82,11 @@
     return "refused" if line.fields.get("status") == 503 else "failed"
 
 
-def _trouble(line, second, outcome):
+def _request_problem(line, second, outcome):
     sends = len(line.fields.get("sent") or ())
     status = line.fields.get("status", "?")
     reason = line.fields.get("reason") or f"answer {status}"
-    return Trouble(
+    return RequestProblem(
         second=second,
         outcome=outcome,
         service=line.fields.get("service", "?"),
--- a/boragegw/operations/tests/test_rollout.py
+++ b/boragegw/operations/tests/test_rollout.py
@@ -29,7 +29,7 @@
 
 
 def told(lines):
-    return operations.rollouts(operations.read_logs(lines))
+    return operations.analyze_rollouts(operations.read_logs(lines))
 
 
 def only(lines):
@@ -62,20 +62,20 @@
     (rollout,) = rollouts.versions
     assert (rollout.version, rollout.routes, rollout.size) == (7, 1304, 2**19)
     assert rollout.first == pytest.approx(EPOCH)
-    shares = [rollout.delay_of(share) for share in operations.SHARES]
+    shares = [rollout.delay_quantile(share) for share in operations.QUANTILES]
     assert shares == pytest.approx([0.4, 6.0, 6.0])
-    assert (len(rollout.delays()), rollout.never()) == (9, 1)
-    assert rollout.left() == [
+    assert (len(rollout.delays()), rollout.never_adopted()) == (9, 1)
+    assert rollout.abandoned_sources() == [
         ("behind the others", 10),
         ("it is no source any more", 1),
     ]
-    assert rollout.dropped() == 10 * 1000 + 500
-    assert rollouts.left_out == 3
-    assert [(a.process, a.waited) for a in rollout.latest()] == [
+    assert rollout.abandoned_bytes() == 10 * 1000 + 500
+    assert rollouts.omitted_lines == 3
+    assert [(a.process, a.waited) for a in rollout.latest_adopters()] == [
         ("gw-9", pytest.approx(9.0)),
         ("gw-8", pytest.approx(6.0)),
     ]
-    assert [a.process for a in rollout.latest(limit=1)] == ["gw-9"]
+    assert [a.process for a in rollout.latest_adopters(limit=1)] == ["gw-9"]
 
 
 def test_delay_is_told_where_a_version_is_all_that_processes_share():
@@ -88,8 +88,12 @@
 
 def test_logs_without_sizes_say_that_they_are_not_known():
     rollout = only([adoption("gw-a", 0.0, 7), left("gw-b", 1.0)])
-    assert (rollout.routes, rollout.size, rollout.dropped()) == (None, None, None)
-    assert rollout.left() == [("behind the others", 1)]
+    assert (rollout.routes, rollout.size, rollout.abandoned_bytes()) == (
+        None,
+        None,
+        None,
+    )
+    assert rollout.abandoned_sources() == [("behind the others", 1)]
 
 
 def test_newer_version_stands_for_those_that_were_skipped():
@@ -116,7 +120,7 @@
         ]
     ).versions
     assert delays(seventh) == {"gw-a": 0.0, "gw-b": 0.0}
-    assert seventh.left() == []
+    assert seventh.abandoned_sources() == []
 
 
 def test_process_that_starts_later_is_not_late():
@@ -171,8 +175,8 @@
     own = [adoption("gw-d", 10.0 * i + 0.05 * i, 7 + i, wall=wall) for i in range(3)]
     rollouts = told([*USUAL, *own])
     assert rollouts.clock_errors == [("gw-d", 0, pytest.approx(wall + 0.05))]
-    assert all(r.delay_of(1.0) <= 0.2 for r in rollouts.versions)
-    assert [r.never() for r in rollouts.versions] == [0, 0, 0]
+    assert all(r.delay_quantile(1.0) <= 0.2 for r in rollouts.versions)
+    assert [r.never_adopted() for r in rollouts.versions] == [0, 0, 0]
 
 
 @pytest.mark.parametrize("late", [(3.0, 0.0, 9.0), (0.0, 4.0, 0.0), (2.0, 2.5, 2.0)])
@@ -202,8 +206,12 @@
         left("gw-b", 1.0, reason=None, received="x"),
     ]
     rollout = only(lines)
-    assert (rollout.routes, rollout.size, rollout.dropped()) == (None, None, None)
-    assert rollout.left() == [("None", 1)]
+    assert (rollout.routes, rollout.size, rollout.abandoned_bytes()) == (
+        None,
+        None,
+        None,
+    )
+    assert rollout.abandoned_sources() == [("None", 1)]
 
 
 def shown(lines, tmp_path, capsys, *options):
--- a/boragegw/operations/tests/test_stories.py
+++ b/boragegw/operations/tests/test_stories.py
@@ -33,7 +33,10 @@
 
 def told(lines, request_id="r1"):
     logs = operations.read_logs(lines)
-    return [(row.process, row.event) for row in operations.story_of(logs, request_id)]
+    return [
+        (row.process, row.event)
+        for row in operations.request_timeline(logs, request_id)
+    ]
 
 
 EXPECTED = [
@@ -78,7 +81,7 @@
     again = [text.replace('"at": 700', '"at": 1') for text in again]
     lines = [*STORY, adoption("gw-a", 4.1, 6), *again]
     logs = operations.read_logs(lines)
-    moments = {row.event: row.moment for row in logs.lines if row.life == 1}
+    moments = {row.event: row.aligned_at for row in logs.lines if row.life == 1}
     assert moments["send-failed"] == pytest.approx(105.0)
 
 
@@ -128,7 +131,7 @@
     ]
     assert summary.count("service")[0] == ("app", 3)
     assert summary.by_second() == [(2.0, 2, 0, 0), (4.0, 0, 1, 1)]
-    assert summary.left_out == 3
+    assert summary.omitted_lines == 3
 
 
 def test_summary_of_log_files_on_the_command_line(tmp_path, capsys):
