--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -75,8 +75,8 @@
     application = litestar.Litestar([services], openapi_config=None)
     sock = _listener.bind("127.0.0.1:0")
     listener = _listener.Listener(application, sock)
-    asyncio.get_running_loop().create_task(listener.run_until_told())
-    return _listener.address_of(sock)
+    asyncio.get_running_loop().create_task(listener.serve_until_stopped())
+    return _listener.socket_address(sock)
 
 
 async def _make_entry(upstream, trace_target=""):
--- a/boragegw/operations/_rollout.py
+++ b/boragegw/operations/_rollout.py
@@ -1,10 +1,11 @@
 """Tells from the logs of many processes when each of them got a configuration.
 
 The common clock of :class:`~boragegw.operations.MergedLogs` takes the adoption of a
-version for one moment everywhere, which is just what is in question here. So the moments are
-those of the machines' times of day, each taken over the whole life of a process, so
-that a jump in between does no harm. A life that differs from the others by the same
-time for each of several versions has a clock that is wrong; it is put right and named.
+version for one moment everywhere, which is just what is in question here. So the
+moments are those of the machines' times of day, each taken over the whole life of a
+process, so that a jump in between does no harm. A life that differs from the others by
+the same time for each of several versions has a clock that is wrong; it is put right
+and named.
 """
 
 import bisect
--- a/boragegw/server/_listener.py
+++ b/boragegw/server/_listener.py
@@ -37,7 +37,7 @@
     return sock
 
 
-def address_of(sock):
+def socket_address(sock):
     """Return ``host:port`` of a bound socket."""
     host, port = sock.getsockname()[:2]
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
@@ -107,8 +107,8 @@
         """Leave the signal handlers as they are."""
         yield
 
-    async def run_until_told(self):
-        """Serve until :meth:`tell_to_stop`."""
+    async def serve_until_stopped(self):
+        """Serve until :meth:`request_stop`."""
         await self.serve(sockets=[self.sock])
 
     def abort(self):
@@ -120,6 +120,6 @@
         self.force_exit = True
         self.should_exit = True
 
-    def tell_to_stop(self):
+    def request_stop(self):
         """Accept no more connections; requests in flight are finished."""
         self.should_exit = True
--- a/boragegw/server/_node.py
+++ b/boragegw/server/_node.py
@@ -298,7 +298,7 @@
         self.gossip.drop_stale_counts(self.parameters.silence)
         self.membership.drop_expired_sealed_tables()
 
-    def take_message(self, sender, message):
+    def handle_message(self, sender, message):
         """Take a datagram's message from the peer ``sender``."""
         if isinstance(message, peers.Heartbeat):
             self.membership.handle_heartbeat(message)
@@ -311,7 +311,7 @@
                 self.clock.now() + message.remaining,
             )
 
-    def take_sealed(self, table):
+    def store_sealed_table(self, table):
         """Keep the key table of a process that stops, and say so to all peers."""
         self.membership.sealed_tables[table.incarnation] = table
         self.membership.broadcast_heartbeat()
--- a/boragegw/server/_peer_application.py
+++ b/boragegw/server/_peer_application.py
@@ -106,7 +106,7 @@
     async def _sealed(self, scope, receive, send):
         raw = await self._signed_body(scope, receive, send, SEALED_LIMIT)
         if raw is not None:
-            self.node.take_sealed(peers.decode_sealed(raw))
+            self.node.store_sealed_table(peers.decode_sealed(raw))
             await _reply(send, 200)
 
     async def _signed_body(self, scope, receive, send, limit):
--- a/boragegw/server/_process.py
+++ b/boragegw/server/_process.py
@@ -62,9 +62,9 @@
         self._caller_socket = _listener.bind(own.caller_address)
         self._operator_socket = _listener.bind(own.operator_address)
         self._peer_socket, self._udp_socket = _bind_peer(own.peer_address)
-        self.caller_address = _listener.address_of(self._caller_socket)
-        self.operator_address = _listener.address_of(self._operator_socket)
-        self.peer_address = _listener.address_of(self._peer_socket)
+        self.caller_address = _listener.socket_address(self._caller_socket)
+        self.operator_address = _listener.socket_address(self._operator_socket)
+        self.peer_address = _listener.socket_address(self._peer_socket)
 
     def _build(self):
         settings = self.settings
@@ -98,7 +98,7 @@
             ),
         )
         udp.counters = self.node.board.counters
-        udp.on_message = self.node.take_message
+        udp.on_message = self.node.handle_message
         self._udp = udp
         self._build_listeners(signer)
 
@@ -126,7 +126,7 @@
         self._build()
         await self._udp.listen(self._udp_socket)
         self._listening = [
-            self._tasks.start(listener.run_until_told(), "listener")
+            self._tasks.start(listener.serve_until_stopped(), "listener")
             for listener in self._listeners
         ]
         observation = self.settings.observation
@@ -160,7 +160,7 @@
 
     async def _close_listeners(self):
         for listener in self._listeners:
-            listener.tell_to_stop()
+            listener.request_stop()
         await self._end_tasks()
 
     async def _end_tasks(self):
@@ -204,7 +204,7 @@
         stream = _listener.bind(address)
         try:
             datagram = _listener.bind(
-                _listener.address_of(stream), kind=socket.SOCK_DGRAM
+                _listener.socket_address(stream), kind=socket.SOCK_DGRAM
             )
         except Exception:
             stream.close()
--- a/boragegw/standins/_backend.py
+++ b/boragegw/standins/_backend.py
@@ -72,7 +72,7 @@
         self.downloads = {}
         self._slots = asyncio.Semaphore(slots)
         self._socket = _listener.bind(address)
-        self.address = _listener.address_of(self._socket)
+        self.address = _listener.socket_address(self._socket)
         self._listener = _listener.Listener(self, self._socket)
         self._task = None
 
@@ -91,7 +91,7 @@
     async def start(self):
         """Serve in the background."""
         loop = asyncio.get_running_loop()
-        self._task = loop.create_task(self._listener.run_until_told())
+        self._task = loop.create_task(self._listener.serve_until_stopped())
 
     async def stop(self):
         """Stop at once."""
--- a/boragegw/standins/_platform.py
+++ b/boragegw/standins/_platform.py
@@ -115,7 +115,7 @@
     def __init__(self, state, address="127.0.0.1:0"):
         self.state = state
         self._socket = _listener.bind(address)
-        self.address = _listener.address_of(self._socket)
+        self.address = _listener.socket_address(self._socket)
         self._listener = _listener.Listener(self._build(), self._socket)
         self._task = None
 
@@ -164,7 +164,7 @@
     async def start(self):
         """Serve in the background."""
         loop = asyncio.get_running_loop()
-        self._task = loop.create_task(self._listener.run_until_told())
+        self._task = loop.create_task(self._listener.serve_until_stopped())
 
     async def stop(self):
         """Stop at once."""
--- a/boragegw/standins/_virtual_network.py
+++ b/boragegw/standins/_virtual_network.py
@@ -116,7 +116,7 @@
             loop.call_later(0.01, self._deliver, node, address, message)
             return
         if self.world.nodes.get(address) is node:
-            node.take_message(self.incarnation, message)
+            node.handle_message(self.incarnation, message)
 
     async def forward(self, address, incarnation, request):
         """Have a peer carry a copy of ``request``."""
@@ -166,7 +166,7 @@
         await asyncio.sleep(0.002)
         if node is None or address in self.world.paused:
             raise peers.PeerError(f"{address}: unreachable")
-        node.take_sealed(peers.decode_sealed(peers.encode_sealed(sealed)))
+        node.store_sealed_table(peers.decode_sealed(peers.encode_sealed(sealed)))
 
 
 def _copied(message):
