--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -228,7 +228,7 @@
             )
             for i in range(count)
         }
-        head = configuration.encode_document(configuration.head_for(1, documents))
+        head = configuration.encode_document(configuration.build_head(1, documents))
         yield (
             count,
             1e3
--- a/boragegw/cli/_configure.py
+++ b/boragegw/cli/_configure.py
@@ -45,8 +45,8 @@
     answers = configuration.validate_model(configuration.Answers, data, options.answers)
     configuration.check_answers(answers, options.answers)
     values = list(configuration.generate(answers))
-    documents = configuration.documents_of(values)
-    published = configuration.Published()
+    documents = configuration.build_documents(values)
+    published = configuration.PublishedConfiguration()
     if options.published:
         published = configuration.read_published(options.published)
     if options.explain:
@@ -63,7 +63,7 @@
     """Yield a line for each generated value."""
     for value in values:
         shown = json.dumps(value.value)
-        yield f"{value.document}: {value.key} = {shown}\n    because of {value.because}"
+        yield f"{value.document}: {value.key} = {shown}\n    because of {value.origin}"
 
 
 def differences(published, documents):
@@ -86,6 +86,6 @@
     if next_documents == published.documents:
         print(f"nothing has changed since revision {published.revision}")
         return
-    base = configuration.Published(published.revision)
-    revision = configuration.write_next(folder, base, next_documents)
+    base = configuration.PublishedConfiguration(published.revision)
+    revision = configuration.write_next_revision(folder, base, next_documents)
     print(f"revision {revision} with {len(next_documents)} documents in {folder}")
--- a/boragegw/cli/_recall.py
+++ b/boragegw/cli/_recall.py
@@ -55,7 +55,9 @@
     if published.vms is not None:
         _show_capacity(options, published, row, document)
     raw = configuration.encode_document(document)
-    revision = configuration.write_next(options.output, published, {"recalls": raw})
+    revision = configuration.write_next_revision(
+        options.output, published, {"recalls": raw}
+    )
     print(f"revision {revision} in {options.output}: publish it with the platform")
     if options.wait:
         return wait_for(options.wait, revision, options.timeout)
@@ -65,14 +67,14 @@
 def _show_capacity(options, published, row, document):
     _, vms = configuration.parse_vm_list(published.vms)
     if not options.returning and not options.force:
-        configuration.check_known(row, vms)
-    rows = list(configuration.capacity_left(vms, document))
+        configuration.check_covers_backends(row, vms)
+    rows = list(configuration.remaining_capacity(vms, document))
     for left in rows:
         print(
-            f"{left.service}: {left.servers_left} of {left.servers} backend servers, "
-            f"{left.slots_left} of {left.slots} slots left"
+            f"{left.service}: {left.remaining_servers} of {left.servers} backend "
+            f"servers, {left.remaining_slots} of {left.slots} slots left"
         )
-    lost = [left.service for left in rows if left.servers_left == 0]
+    lost = [left.service for left in rows if left.remaining_servers == 0]
     if lost and not options.returning and not options.force:
         raise errors.ConfigurationError(
             "command line",
--- a/boragegw/cli/tests/test_commands.py
+++ b/boragegw/cli/tests/test_commands.py
@@ -59,7 +59,9 @@
         "recalls": configuration.encode_document({"recalls": []}),
         "batches": configuration.encode_document(batches),
     }
-    configuration.write_next(folder, configuration.Published(), documents)
+    configuration.write_next_revision(
+        folder, configuration.PublishedConfiguration(), documents
+    )
     rows = [
         {
             "name": f"claims-{data_centre}",
--- a/boragegw/configuration/__init__.py
+++ b/boragegw/configuration/__init__.py
@@ -6,21 +6,25 @@
     RequestRule,
     ServiceDocument,
     VmList,
+    build_head,
     encode_document,
-    head_for,
     parse_bundle,
     parse_vm_list,
 )
-from boragegw.configuration._generator import GeneratedValue, documents_of, generate
+from boragegw.configuration._generator import GeneratedValue, build_documents, generate
 from boragegw.configuration._jsonc import load_jsonc, validate_model
-from boragegw.configuration._published import Published, read_published, write_next
+from boragegw.configuration._published import (
+    PublishedConfiguration,
+    read_published,
+    write_next_revision,
+)
 from boragegw.configuration._questionnaire import Answers, check_answers
 from boragegw.configuration._recalls import (
-    Capacity,
+    ServiceCapacity,
     add_recall,
-    capacity_left,
-    check_known,
+    check_covers_backends,
     parse_batch,
+    remaining_capacity,
     remove_recall,
 )
 from boragegw.configuration._settings import (
@@ -31,19 +35,19 @@
 
 __all__ = [
     "Answers",
-    "Capacity",
+    "ServiceCapacity",
     "GeneratedValue",
-    "Published",
+    "PublishedConfiguration",
     "add_recall",
-    "capacity_left",
+    "remaining_capacity",
     "check_answers",
-    "check_known",
-    "documents_of",
+    "check_covers_backends",
+    "build_documents",
     "generate",
     "parse_batch",
     "read_published",
     "remove_recall",
-    "write_next",
+    "write_next_revision",
     "EntrySettings",
     "HeadDocument",
     "RecallsDocument",
@@ -52,7 +56,7 @@
     "Settings",
     "VmList",
     "encode_document",
-    "head_for",
+    "build_head",
     "load_jsonc",
     "load_settings",
     "parse_bundle",
--- a/boragegw/configuration/_documents.py
+++ b/boragegw/configuration/_documents.py
@@ -89,7 +89,7 @@
         )
 
 
-class RecallRow(_Model):
+class RecalledBatch(_Model):
     """One recalled batch."""
 
     kind: typing.Literal["data-centre", "release", "label", "vms"]
@@ -102,7 +102,7 @@
     questionnaire again cannot undo a recall.
     """
 
-    recalls: list[RecallRow] = []
+    recalls: list[RecalledBatch] = []
 
     def to_recalls(self):
         """Return the data classes that decisions read."""
@@ -111,7 +111,7 @@
         )
 
 
-class BatchRow(_Model):
+class NamedBatch(_Model):
     """A batch with a name to recall it by."""
 
     name: _settings.Name
@@ -122,10 +122,10 @@
 class BatchesDocument(_Model):
     """The named batches; the command line reads them, entries do not."""
 
-    batches: list[BatchRow] = []
+    batches: list[NamedBatch] = []
 
 
-class VmRow(_Model):
+class VmRecord(_Model):
     """One VM of the platform's list."""
 
     name: _settings.Name
@@ -145,7 +145,7 @@
     """The platform's lagging list of live and leaving VMs."""
 
     version: int = pydantic.Field(ge=1)
-    vms: list[VmRow]
+    vms: list[VmRecord]
 
 
 _MODELS = {RECALLS: RecallsDocument, BATCHES: BatchesDocument}
@@ -157,7 +157,7 @@
     return (json.dumps(data, indent=1, sort_keys=True) + "\n").encode()
 
 
-def head_for(revision, documents):
+def build_head(revision, documents):
     """Return the head document for raw ``documents`` by name."""
     hashes = {
         name: hashlib.sha256(raw).hexdigest() for name, raw in sorted(documents.items())
@@ -187,7 +187,7 @@
 
     :raises ConfigurationError: for an unknown name or an invalid document.
     """
-    document = _parse(model_of(name), raw, name)
+    document = _parse(model_for(name), raw, name)
     if name.startswith(SERVICE_PREFIX) and name != SERVICE_PREFIX + document.name:
         raise errors.ConfigurationError(
             name, "name", f"{document.name!r}, expected the document's own name"
@@ -195,7 +195,7 @@
     return document
 
 
-def model_of(name):
+def model_for(name):
     """Return the model class of the document ``name``.
 
     :raises ConfigurationError: for an unknown kind.
--- a/boragegw/configuration/_generator.py
+++ b/boragegw/configuration/_generator.py
@@ -21,7 +21,7 @@
     document: str
     key: str
     value: object
-    because: str
+    origin: str
 
 
 def generate(answers):
@@ -35,7 +35,7 @@
 def _service_values(service, answers):
     document = f"service.{service.name}"
     source = f"answer services.{service.name}"
-    for key, value, because in (
+    for key, value, origin in (
         ("name", service.name, f"{source}.name"),
         ("deadline_ms", round(service.deadline_s * 1000), f"{source}.deadline_s"),
         ("cold_in_flight", service.cold_bears, f"{source}.cold_bears"),
@@ -50,7 +50,7 @@
         ("hedge_budget", *_hedge_budget(service, source)),
         ("requests", *_requests(service, source)),
     ):
-        yield GeneratedValue(document, key, value, because)
+        yield GeneratedValue(document, key, value, origin)
 
 
 def _queue_limit(service, source):
@@ -93,13 +93,13 @@
     return rules, f"{source}.requests: repeatable, and the worst of the three harms"
 
 
-def documents_of(values):
+def build_documents(values):
     """Return the raw documents by name of generated values."""
     contents = {}
     for value in values:
         contents.setdefault(value.document, {})[value.key] = value.value
     documents = {}
     for name, content in contents.items():
-        model = _documents.model_of(name).model_validate(content)
+        model = _documents.model_for(name).model_validate(content)
         documents[name] = _documents.encode_document(model)
     return documents
--- a/boragegw/configuration/_published.py
+++ b/boragegw/configuration/_published.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Published:
+class PublishedConfiguration:
     """What is published now.
 
     :param documents: raw documents by name, without the head.
@@ -44,7 +44,7 @@
 
 
 def read_published(place):
-    """Return the :class:`Published` state.
+    """Return the :class:`PublishedConfiguration` state.
 
     :param place: a folder, or ``http://HOST:PORT`` of the platform.
     :raises ConfigurationError: if it cannot be read or is not whole.
@@ -60,7 +60,7 @@
     files = {path.stem: path for path in sorted(folder.glob("*.json"))}
     vms = files.pop("vms", None)
     head = files.pop(_documents.HEAD, None)
-    published = Published(vms=vms.read_bytes() if vms else None)
+    published = PublishedConfiguration(vms=vms.read_bytes() if vms else None)
     if head is None:
         return published
     parsed = _documents.parse_head(head.read_bytes())
@@ -86,7 +86,7 @@
     except httpx.HTTPError as error:
         raise errors.ConfigurationError(address, "platform", str(error)) from error
     _documents.parse_bundle(head, documents)
-    return Published(parsed.revision, documents, vms)
+    return PublishedConfiguration(parsed.revision, documents, vms)
 
 
 def _get(client, path):
@@ -95,7 +95,7 @@
     return answer.content
 
 
-def write_next(folder, published, changed):
+def write_next_revision(folder, published, changed):
     """Write the next revision's head and the changed documents into ``folder``.
 
     Everything is made and checked before the first file is put in place, and the head
@@ -105,7 +105,7 @@
     :returns: the new revision.
     """
     documents = {**published.documents, **changed}
-    head = _documents.head_for(published.revision + 1, documents)
+    head = _documents.build_head(published.revision + 1, documents)
     raw_head = _documents.encode_document(head)
     _documents.parse_bundle(raw_head, documents)
     folder = pathlib.Path(folder)
--- a/boragegw/configuration/_recalls.py
+++ b/boragegw/configuration/_recalls.py
@@ -9,14 +9,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Capacity:
+class ServiceCapacity:
     """Backend servers and slots of one service that are not recalled or leaving."""
 
     service: str
     servers: int
-    servers_left: int
+    remaining_servers: int
     slots: int
-    slots_left: int
+    remaining_slots: int
 
 
 def parse_batch(text, batches):
@@ -28,7 +28,7 @@
     """
     named = batches.get(text)
     if named is not None:
-        return _documents.RecallRow(
+        return _documents.RecalledBatch(
             kind=named.kind, values=named.values, reason=f"batch {text}"
         )
     kind, separator, values = text.partition(":")
@@ -42,7 +42,7 @@
         )
     rows = [value.strip() for value in values.split(",")]
     return _jsonc.validate_model(
-        _documents.RecallRow, {"kind": kind, "values": rows}, "command line"
+        _documents.RecalledBatch, {"kind": kind, "values": rows}, "command line"
     )
 
 
@@ -75,7 +75,7 @@
     return _documents.RecallsDocument(recalls=kept)
 
 
-def check_known(row, vms):
+def check_covers_backends(row, vms):
     """Refuse a batch that covers no backend server: most likely a slip of the pen."""
     recall = blackboard.Recall(row.kind, frozenset(row.values))
     if not any(recall.covers(vm) for vm in _backends(vms)):
@@ -90,8 +90,8 @@
     return (vm for vm in vms.values() if vm.role == blackboard.ROLE_BACKEND)
 
 
-def capacity_left(vms, document):
-    """Yield the :class:`Capacity` of each service under a recalls document."""
+def remaining_capacity(vms, document):
+    """Yield the :class:`ServiceCapacity` of each service under a recalls document."""
     recalls = document.to_recalls()
     services = sorted({vm.service for vm in _backends(vms)})
     for service in services:
@@ -101,7 +101,7 @@
             for vm in rows
             if not vm.leaving and not any(recall.covers(vm) for recall in recalls)
         ]
-        yield Capacity(
+        yield ServiceCapacity(
             service,
             len(rows),
             len(left),
--- a/boragegw/standins/_platform.py
+++ b/boragegw/standins/_platform.py
@@ -36,7 +36,7 @@
         """Publish ``documents`` (bytes by name) as the next revision."""
         self.documents = {**self.documents, **documents}
         self.revision += 1
-        head = configuration.head_for(self.revision, self.documents)
+        head = configuration.build_head(self.revision, self.documents)
         self.head = configuration.encode_document(head)
         self._wake()
 
