--- a/boragegw/server/__init__.py
+++ b/boragegw/server/__init__.py
@@ -1,4 +1,4 @@
-"""One entry process: the parts put together, its sockets and its life."""
+"""The entry process: its components, its listeners, its start and its shutdown."""
 
 from boragegw.server._node import Node, NodeParameters
 from boragegw.server._peer_application import PeerApplication
--- a/boragegw/server/_listener.py
+++ b/boragegw/server/_listener.py
@@ -1,4 +1,4 @@
-"""HTTP listeners: uvicorn servers on sockets bound beforehand."""
+"""HTTP listeners: uvicorn servers on sockets that are bound in advance."""
 
 import contextlib
 import socket
@@ -8,20 +8,21 @@
 
 from boragegw import errors
 
-HEADER_LIMIT = 64 << 10
+MAX_HEADER_BYTES = 64 << 10
 MAX_HEADERS = 200
 
 
 def bind(address, kind=socket.SOCK_STREAM):
-    """Return a socket bound to ``host:port``; port 0 is chosen by the kernel.
+    """Return a socket bound to ``host:port``; the kernel chooses the port for 0.
 
-    :raises ConfigurationError: if it cannot be bound.
+    :raises ConfigurationError: if the address cannot be bound.
     """
     host, _, port = address.rpartition(":")
     host = host.strip("[]")
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    # asyncio switches Nagle's algorithm off only where the protocol is named: without
-    # it the body of an answer waits about 40 ms for the acknowledgement of its head.
+    # asyncio disables Nagle's algorithm only on sockets with an explicit protocol
+    # number. Otherwise the body of a response waits about 40 ms for the
+    # acknowledgement of its headers.
     stream = kind == socket.SOCK_STREAM
     protocol = socket.IPPROTO_TCP if stream else socket.IPPROTO_UDP
     sock = socket.socket(family, kind, protocol)
@@ -38,34 +39,34 @@
 
 
 def socket_address(sock):
-    """Return ``host:port`` of a bound socket."""
+    """Return the ``host:port`` to which a socket is bound."""
     host, port = sock.getsockname()[:2]
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 class BoundedProtocol(httptools_impl.HttpToolsProtocol):
-    """Refuses endless headers while they arrive, with a problem document.
+    """Limits request headers while they arrive; the refusal is a problem document.
 
-    Guards against a caller whose headers never end: they are collected before the
-    application sees the request, and would fill the memory of a small VM.
+    The server buffers all headers before the application sees the request, so a
+    client that never ends its headers would exhaust the memory of a small VM.
     """
 
-    _received = 0
+    _header_bytes = 0
 
     def on_message_begin(self):
-        """Start counting for a new request."""
-        self._received = 0
+        """Reset the header size for a new request."""
+        self._header_bytes = 0
         super().on_message_begin()
 
     def on_header(self, name, value):
-        """Count one header."""
-        self._received += len(name) + len(value) + 4
-        if self._received > HEADER_LIMIT or len(self.headers) >= MAX_HEADERS:
+        """Add one header to the size and check the limits."""
+        self._header_bytes += len(name) + len(value) + 4
+        if self._header_bytes > MAX_HEADER_BYTES or len(self.headers) >= MAX_HEADERS:
             raise ValueError("headers too large")
         super().on_header(name, value)
 
     def send_400_response(self, msg):
-        """Answer what is not HTTP; nothing of it was run."""
+        """Respond to malformed HTTP; the problem document says that nothing ran."""
         error = errors.RequestError.not_run(errors.Code.BAD_REQUEST, msg)
         problem = errors.problem_document(error)
         lines = [b"HTTP/1.1 400 Bad Request"]
@@ -76,16 +77,21 @@
 
 
 class Listener(uvicorn.Server):
-    """A uvicorn server that leaves signals to the process.
+    """A uvicorn server that leaves signal handling to the process.
 
     :param application: an ASGI application.
     :param sock: a bound socket.
+    :param tls: a :class:`~boragegw.configuration.TlsSettings`, or ``None`` for plain
+        HTTP.
     """
 
     def __init__(self, application, sock, tls=None):
-        extra = {}
+        tls_options = {}
         if tls is not None:
-            extra = {"ssl_certfile": tls.certificate, "ssl_keyfile": tls.private_key}
+            tls_options = {
+                "ssl_certfile": tls.certificate,
+                "ssl_keyfile": tls.private_key,
+            }
         config = uvicorn.Config(
             application,
             http=BoundedProtocol,
@@ -97,14 +103,14 @@
             server_header=False,
             date_header=False,
             timeout_keep_alive=30,
-            **extra,
+            **tls_options,
         )
         super().__init__(config)
         self.sock = sock
 
     @contextlib.contextmanager
     def capture_signals(self):
-        """Leave the signal handlers as they are."""
+        """Keep the signal handlers of the process installed."""
         yield
 
     async def serve_until_stopped(self):
@@ -112,7 +118,7 @@
         await self.serve(sockets=[self.sock])
 
     def abort(self):
-        """Stop listening and cut all connections at once, as a crash does."""
+        """Stop listening and abort all connections at once, as a crash would."""
         for listening in getattr(self, "servers", ()):
             listening.close()
         for connection in list(self.server_state.connections):
@@ -121,5 +127,5 @@
         self.should_exit = True
 
     def request_stop(self):
-        """Accept no more connections; requests in flight are finished."""
+        """Accept no more connections and finish the requests in flight."""
         self.should_exit = True
--- a/boragegw/server/_node.py
+++ b/boragegw/server/_node.py
@@ -1,7 +1,7 @@
-"""The parts of one entry process put together, without sockets.
+"""The components of one entry process, wired together without sockets.
 
-Transport, peers' network and platform are arguments, so that tests and benchmarks
-run this very code with small fakes at the interfaces.
+The transport, the peer network and the platform's sources are arguments, so tests and
+benchmarks run the production code with fakes at these interfaces.
 """
 
 import asyncio
@@ -19,19 +19,28 @@
 
 logger = logging.getLogger(__name__)
 
-SUCCESSORS = 2
-DRAIN_POLL = 0.05
-PATIENCE = 1.5
+#: Peers that receive the sealed key tables of a stopping process.
+HANDOVER_PEERS = 2
+#: Seconds between two checks of a condition during start and shutdown.
+POLL_SECONDS = 0.05
+#: Seconds for which a starting process waits for temperatures from a peer.
+PEER_TIMEOUT_SECONDS = 1.5
 
 
 @dataclasses.dataclass(slots=True)
 class NodeParameters:
-    """Intervals and limits; times in seconds.
-
-    :param leave_grace: between the announcement that this process leaves and the
-        refusal of new work; callers' kept answers run out meanwhile.
-    :param shutdown_timeout: a planned stop ends after this even with work in flight.
-    :param placement: a placement policy, ``None`` for the default.
+    """Intervals, limits and policies of a node; times in seconds, sizes in bytes.
+
+    :param stored_response_limit: largest response that is stored for a replay.
+    :param stored_bytes_limit: total size of all stored responses.
+    :param keep_for: how long callers cache a list of entries.
+    :param leave_grace: time between the announcement that this process drains and the
+        refusal of new work; cached lists of entries expire in this time.
+    :param shutdown_timeout: a graceful shutdown ends after this time even with work in
+        flight.
+    :param placement: a placement policy; ``None`` for the default.
+    :param limits: a concurrency limit policy; ``None`` for the default.
+    :param hedging: a hedge policy; ``None`` for the default.
     """
 
     heartbeat_interval: float = 0.5
@@ -44,8 +53,8 @@
     lease_duration: float = 600.0
     retention: float = 600.0
     table_limit: int = 100_000
-    answer_limit: int = 65_536
-    stored_bytes: int = 32 << 20
+    stored_response_limit: int = 65_536
+    stored_bytes_limit: int = 32 << 20
     request_limit: int = 5000
     header_bytes: int = 32_768
     keep_for: float = 2.0
@@ -58,14 +67,16 @@
 
 
 class Node:
-    """One entry process.
+    """The components of one entry process.
 
     :param identity: a :class:`~boragegw.blackboard.Identity`.
     :param clock: a :class:`~boragegw.utils.Clock`.
     :param random_state: a ``random.Random``.
     :param transport: a :class:`~boragegw.backends.BackendTransport`.
     :param network: a :class:`~boragegw.peers.PeerNetwork`.
-    :param secret: the peers' shared key.
+    :param configuration_source: a :class:`~boragegw.sources.ConfigurationSource`.
+    :param fleet_source: a :class:`~boragegw.sources.FleetSource`.
+    :param secret: the key that all peers share.
     :param parameters: a :class:`NodeParameters`.
     """
 
@@ -98,12 +109,12 @@
         self.board.membership.silence = self.parameters.silence
         self._build_controllers(configuration_source, fleet_source)
         self._build_entry(secret)
-        self._connect_events()
+        self._connect_callbacks()
 
     def _build_controllers(self, configuration_source, fleet_source):
         parameters = self.parameters
         membership_policy = decisions.MembershipPolicy()
-        ramp = decisions.SlowStartPolicy()
+        slow_start_policy = decisions.SlowStartPolicy()
         self.hedging = parameters.hedging or decisions.HedgePolicy()
         self.dispatcher = controllers.Dispatcher(
             self.board,
@@ -119,14 +130,14 @@
             self.dispatcher,
             decisions.SubsetPolicy(),
             membership_policy,
-            ramp,
+            slow_start_policy,
         )
         self.observer = controllers.HealthObserver(
             self.board,
             self.clock,
             self.transport,
             self.dispatcher,
-            ramp,
+            slow_start_policy,
             decisions.OutlierDetectionPolicy(),
             self.hedging,
             self.tasks,
@@ -166,7 +177,7 @@
     def _build_entry(self, secret):
         parameters = self.parameters
         self.keys = decisions.KeyTable(
-            parameters.table_limit, parameters.retention, parameters.stored_bytes
+            parameters.table_limit, parameters.retention, parameters.stored_bytes_limit
         )
         self.leases = decisions.LeaseAuthority(secret)
         policies = entry.Policies(
@@ -188,7 +199,7 @@
             self.keys,
             self.executor,
             self.executions,
-            parameters.answer_limit,
+            parameters.stored_response_limit,
         )
         self.carrier = entry.Carrier(
             self.board,
@@ -210,82 +221,86 @@
             parameters.keep_for,
         )
 
-    def _connect_events(self):
+    def _connect_callbacks(self):
         self.observer.on_temperature_change = self.gossip.broadcast_temperature
         self.executor.on_quarantine = self.gossip.broadcast_quarantine
-        self.membership.on_heartbeat = self._heard
-        self.membership.on_new_member = self._welcome
-        self.configuration.on_change = self._configuration_changed
+        self.membership.on_heartbeat = self._handle_heartbeat
+        self.membership.on_new_member = self._handle_new_member
+        self.configuration.on_change = self._handle_configuration_change
 
-    def _heard(self, member):
-        """Compare configurations; tell the temperatures to whoever is starting.
+    def _handle_heartbeat(self, member):
+        """Compare configurations, and send temperatures to a member that is starting.
 
-        Told once is not enough: a starting process may not know its services yet.
+        They are sent with each heartbeat, because a starting process may not know its
+        services yet when the first ones arrive.
         """
         self.configuration.handle_heartbeat(member)
         if member.state is blackboard.MemberState.STARTING:
             self.gossip.send_all_temperatures(member)
 
-    def _welcome(self, member):
+    def _handle_new_member(self, member):
         self.gossip.send_all_temperatures(member)
         self.services.refresh_warmers()
 
-    def _configuration_changed(self):
+    def _handle_configuration_change(self):
         self.services.refresh()
         self.transport.set_sharers(sum(1 for _ in self.board.fleet.entries()))
         self.membership.broadcast_heartbeat()
 
     @property
     def ready(self):
-        """Whether this process takes requests."""
+        """Whether this process accepts requests."""
         serving = self.board.lifecycle.state is blackboard.MemberState.SERVING
         return serving and self.configuration.ready
 
     async def start(self):
-        """Learn what is in force, then serve; loops run until :meth:`stop`."""
-        self.loops.start(self._every("heartbeat_interval", self._beat), "heartbeats")
+        """Load the configuration in force, then serve; loops run until :meth:`stop`."""
+        self.loops.start(
+            self._every("heartbeat_interval", self._send_heartbeats), "heartbeats"
+        )
         await self.configuration.bootstrap(self.parameters.seeds)
         self.loops.start(self.configuration.watch_configuration(), "configuration")
         self.loops.start(self.configuration.watch_vms(), "list of VMs")
         while not self.configuration.ready:
-            await self.sleep(DRAIN_POLL)
-        await self._hear_peers()
+            await self.sleep(POLL_SECONDS)
+        await self._wait_for_temperatures()
         self.board.lifecycle.state = blackboard.MemberState.SERVING
         self.services.refresh()
         self.membership.send_heartbeats()
         self.membership.broadcast_heartbeat()
-        self.loops.start(self._every("digest_interval", self._gossip), "digests")
+        self.loops.start(self._every("digest_interval", self._send_digests), "digests")
         self.loops.start(self._every("tick_interval", self._tick), "tick")
         self.loops.start(self._every("refresh_interval", self._refresh), "refresh")
         logger.info("serving", extra={"incarnation": self.board.identity.incarnation})
 
-    async def _hear_peers(self):
-        """Wait until a peer has told its temperatures, if there is one that can.
+    async def _wait_for_temperatures(self):
+        """Wait until a peer has sent temperatures, if other entries are listed.
 
-        Guards against refusals by a fresh process: unknown counts as cold, so it would
-        find no backend server for most requests. Alone it goes on after a while.
+        An unknown temperature counts as cold, so a new process would find no backend
+        server for most requests and refuse them. Without a response from a peer the
+        wait ends after ``PEER_TIMEOUT_SECONDS``.
         """
         self.services.refresh()
         own = self.board.identity.name
         if all(vm.name == own for vm in self.board.fleet.entries()):
             return
-        end = self.clock.now() + PATIENCE
-        while not self.gossip.temperatures_received and self.clock.now() < end:
+        deadline = self.clock.now() + PEER_TIMEOUT_SECONDS
+        while not self.gossip.temperatures_received and self.clock.now() < deadline:
             self.membership.send_heartbeats()
-            await self.sleep(DRAIN_POLL)
-        await self.sleep(DRAIN_POLL)
+            await self.sleep(POLL_SECONDS)
+        await self.sleep(POLL_SECONDS)
 
     async def _every(self, interval_name, step):
-        """Run ``step`` for ever, with a jitter that keeps processes out of step."""
+        """Run ``step`` periodically, with jitter that desynchronizes processes."""
         interval = getattr(self.parameters, interval_name)
         while True:
             await self.sleep(interval * (0.9 + 0.2 * self.random_state.random()))
             step()
 
-    def _beat(self):
+    def _send_heartbeats(self):
         self.membership.send_heartbeats()
 
-    def _gossip(self):
+    def _send_digests(self):
         self.gossip.send_digests()
 
     def _tick(self):
@@ -299,7 +314,7 @@
         self.membership.drop_expired_sealed_tables()
 
     def handle_message(self, sender, message):
-        """Take a datagram's message from the peer ``sender``."""
+        """Handle the message of a datagram from the peer ``sender``."""
         if isinstance(message, peers.Heartbeat):
             self.membership.handle_heartbeat(message)
         elif isinstance(message, peers.LoadDigest):
@@ -312,35 +327,35 @@
             )
 
     def store_sealed_table(self, table):
-        """Keep the key table of a process that stops, and say so to all peers."""
+        """Store the key table of a stopping process and announce it to all peers."""
         self.membership.sealed_tables[table.incarnation] = table
         self.membership.broadcast_heartbeat()
 
     async def stop(self):
-        """Leave, finish what is in flight, hand the keys over.
+        """Drain, finish the work in flight and hand the key tables over.
 
-        :returns: whether everything in flight was finished.
+        :returns: whether all work in flight was finished.
         """
         try:
             async with asyncio.timeout(self.parameters.shutdown_timeout):
-                await self._leave()
+                await self._drain()
                 await self.executions.drain()
                 while self.board.lifecycle.in_flight:
-                    await self.sleep(DRAIN_POLL)
-                await self._hand_over()
+                    await self.sleep(POLL_SECONDS)
+                await self._hand_over_tables()
                 finished = True
         except TimeoutError:
             finished = False
             logger.error(
-                "stopped with work in flight",
+                "shutdown timed out with work in flight",
                 extra={"in_flight": self.board.lifecycle.in_flight},
             )
         self.membership.broadcast_heartbeat()
         await self.close()
         return finished
 
-    async def _leave(self):
-        """Announce the leave, wait until callers know, then refuse new work."""
+    async def _drain(self):
+        """Announce the draining state, wait until callers know it, refuse new work."""
         lifecycle = self.board.lifecycle
         lifecycle.state = blackboard.MemberState.DRAINING
         self.services.refresh_warmers()
@@ -350,27 +365,27 @@
         lifecycle.state = blackboard.MemberState.STOPPED
         self.membership.broadcast_heartbeat()
 
-    async def _hand_over(self):
-        """Give the sealed table to two peers.
+    async def _hand_over_tables(self):
+        """Send the sealed key tables to the peers chosen as recipients.
 
-        Guards against answers of "may have run" for requests whose outcome was
-        known: after this process is gone its peers still answer for its keys.
+        These peers then respond for this process's keys after it has stopped. Without
+        the tables they would report "may have run" for requests with a known outcome.
         """
         incarnation = self.board.identity.incarnation
         own = self.keys.export(incarnation, self.clock.wall())
         tables = [own, *self.membership.sealed_tables.values()]
-        for member in self.membership.sealed_table_recipients(SUCCESSORS):
+        for member in self.membership.sealed_table_recipients(HANDOVER_PEERS):
             for table in tables:
-                await self._hand_table(member, table)
+                await self._hand_over_table(member, table)
 
-    async def _hand_table(self, member, table):
+    async def _hand_over_table(self, member, table):
         try:
             await self.network.hand_over(member.peer_address, table)
         except peers.PeerError as error:
-            logger.warning("key table not handed over: %s", error)
+            logger.warning("cannot hand a key table over to a peer: %s", error)
 
     async def close(self):
-        """End all tasks and connections at once."""
+        """Stop all tasks and close all connections at once."""
         await self.loops.stop()
         await self.tasks.stop()
         await self.executions.stop()
--- a/boragegw/server/_peer_application.py
+++ b/boragegw/server/_peer_application.py
@@ -1,4 +1,4 @@
-"""The peer-facing HTTP interface: forwards and bulk transfers, all signed."""
+"""The HTTP interface for peers: signed forwards and bulk transfers."""
 
 import logging
 
@@ -10,14 +10,14 @@
 
 logger = logging.getLogger(__name__)
 
-SEALED_LIMIT = 256 << 20
-KNOWN_LIMIT = 4 << 20
+MAX_SEALED_TABLE_BYTES = 256 << 20
+MAX_KNOWN_CONFIGURATION_BYTES = 4 << 20
 
 
 class PeerApplication:
-    """Adapts ASGI to a :class:`Node`.
+    """Adapts ASGI requests of peers to a :class:`Node`.
 
-    :param node: the node.
+    :param node: a :class:`Node`.
     :param signer: a :class:`~boragegw.peers.RequestSigner`.
     """
 
@@ -39,7 +39,7 @@
         return litestar.Litestar([peer], openapi_config=None, logging_config=None)
 
     async def serve(self, scope, receive, send):
-        """Serve one request of a peer."""
+        """Serve one request from a peer."""
         path = scope["raw_path"].decode("latin1")
         routes = {
             ("POST", _http.FORWARD_PATH): self._forward,
@@ -53,10 +53,10 @@
         try:
             await handler(scope, receive, send)
         except peers.PeerError as error:
-            logger.warning("request of a peer refused: %s", error)
+            logger.warning("refused a malformed request from a peer: %s", error)
             await _reply(send, 400)
 
-    def _is_signed(self, scope, *parts):
+    def _verify_signature(self, scope, *parts):
         value = messages.find_header(scope["headers"], _http.SIGNATURE, b"")
         if self.signer.verify(self.node.clock.wall(), value, *parts):
             return True
@@ -64,73 +64,78 @@
         return False
 
     async def _forward(self, scope, receive, send):
-        described = messages.find_header(scope["headers"], _http.FORWARD, b"")
-        if not self._is_signed(scope, _http.FORWARD, described):
+        packed_fields = messages.find_header(scope["headers"], _http.FORWARD, b"")
+        if not self._verify_signature(scope, _http.FORWARD, packed_fields):
             await _reply(send, 403)
             return
         lifecycle = self.node.board.lifecycle
         lifecycle.in_flight += 1
         try:
-            await self._carry(scope, receive, send, described)
+            await self._serve_forward(scope, receive, send, packed_fields)
         finally:
             lifecycle.in_flight -= 1
 
-    async def _carry(self, scope, receive, send, described):
-        fields = _http.unpack_forward(described)
+    async def _serve_forward(self, scope, receive, send, packed_fields):
+        fields = _http.unpack_forward(packed_fields)
         incarnation, request_id, service, method, target, key, remaining, left = fields
-        skipped = (_http.FORWARD, _http.SIGNATURE)
+        internal_headers = (_http.FORWARD, _http.SIGNATURE)
         request = messages.Request(
             request_id=request_id,
             service=service,
             method=method,
             target=target,
-            headers=[h for h in scope["headers"] if h[0] not in skipped],
-            body=messages.Body(_chunks(receive)),
+            headers=[h for h in scope["headers"] if h[0] not in internal_headers],
+            body=messages.Body(_body_chunks(receive)),
             deadline=self.node.clock.now() + remaining,
             key=key,
             retries_left=left,
             trace=messages.find_header(scope["headers"], messages.TRACEPARENT_HEADER),
         )
-        answer = await self.node.carrier.carry_forwarded(incarnation, request)
-        if answer is None:
+        response = await self.node.carrier.carry_forwarded(incarnation, request)
+        if response is None:
             await _reply(send, 421)
             return
-        await _send_answer(send, answer)
+        await _send_response(send, response)
 
     async def _configuration(self, scope, receive, send):
-        raw = await self._signed_body(scope, receive, send, KNOWN_LIMIT)
+        raw = await self._read_signed_body(
+            scope, receive, send, MAX_KNOWN_CONFIGURATION_BYTES
+        )
         if raw is not None:
             bundle = self.node.configuration.build_bundle(_tables.decode_known(raw))
             await _reply(send, 200, _tables.encode_bundle(bundle))
 
     async def _sealed(self, scope, receive, send):
-        raw = await self._signed_body(scope, receive, send, SEALED_LIMIT)
+        raw = await self._read_signed_body(scope, receive, send, MAX_SEALED_TABLE_BYTES)
         if raw is not None:
             self.node.store_sealed_table(peers.decode_sealed(raw))
             await _reply(send, 200)
 
-    async def _signed_body(self, scope, receive, send, limit):
-        """Return the body if it is signed, or ``None`` after a refusal was sent."""
+    async def _read_signed_body(self, scope, receive, send, limit):
+        """Return the body if its signature is valid; else refuse and return ``None``.
+
+        :param limit: largest body in bytes.
+        """
         content = bytearray()
-        async for chunk in _chunks(receive):
+        async for chunk in _body_chunks(receive):
             content += chunk
             if len(content) > limit:
                 await _reply(send, 413)
                 return None
         raw = bytes(content)
-        if not self._is_signed(scope, b"POST", scope["raw_path"], raw):
+        if not self._verify_signature(scope, b"POST", scope["raw_path"], raw):
             await _reply(send, 403)
             return None
         return raw
 
 
-async def _chunks(receive):
+async def _body_chunks(receive):
     more = True
     while more:
         event = await receive()
         if event["type"] == "http.disconnect":
             raise errors.RequestError.not_run(
-                errors.Code.CALLER_GONE, "the forwarding peer went away"
+                errors.Code.CALLER_GONE, "the forwarding peer closed the connection"
             )
         more = event.get("more_body", False)
         if event.get("body"):
@@ -143,25 +148,25 @@
     await send({"type": "http.response.body", "body": content})
 
 
-async def _send_answer(send, answer):
+async def _send_response(send, response):
     headers = [
-        *(h for h in answer.headers if h[0] != messages.VERDICT_HEADER),
-        (messages.VERDICT_HEADER, answer.verdict.value.encode()),
+        *(h for h in response.headers if h[0] != messages.VERDICT_HEADER),
+        (messages.VERDICT_HEADER, response.verdict.value.encode()),
         (_http.FORWARD, b"answer"),
     ]
     try:
         await send(
             {
                 "type": "http.response.start",
-                "status": answer.status,
+                "status": response.status,
                 "headers": headers,
             }
         )
-        async for chunk in answer.body:
+        async for chunk in response.body:
             part = {"type": "http.response.body", "body": chunk, "more_body": True}
             await send(part)
         await send({"type": "http.response.body", "body": b""})
     except errors.TruncatedResponseError as error:
-        logger.warning("forwarded answer broken off: %s", error)
+        logger.warning("response to a forwarding peer was truncated: %s", error)
     finally:
-        await answer.aclose()
+        await response.aclose()
--- a/boragegw/server/_process.py
+++ b/boragegw/server/_process.py
@@ -1,4 +1,4 @@
-"""An entry process as it runs: settings, sockets, listeners, signals."""
+"""The running entry process: settings, sockets, listeners and signals."""
 
 import asyncio
 import logging
@@ -20,11 +20,12 @@
 
 logger = logging.getLogger(__name__)
 
-METRICS_INTERVAL = 1.0
+#: Seconds between two reports to the statsd server.
+METRICS_INTERVAL_SECONDS = 1.0
 
 
-def parameters_of(settings):
-    """Return the node's parameters in a settings model."""
+def parameters_from_settings(settings):
+    """Return the :class:`NodeParameters` for a settings model."""
     return _node.NodeParameters(
         heartbeat_interval=settings.peers.heartbeat_interval,
         silence=settings.peers.silence,
@@ -33,8 +34,8 @@
         lease_duration=settings.leases.duration,
         retention=settings.leases.retention,
         table_limit=settings.leases.table_limit,
-        answer_limit=settings.leases.stored_answer_limit,
-        stored_bytes=settings.leases.stored_bytes_limit,
+        stored_response_limit=settings.leases.stored_answer_limit,
+        stored_bytes_limit=settings.leases.stored_bytes_limit,
         request_limit=settings.limits.requests,
         header_bytes=settings.limits.header_bytes,
         shutdown_timeout=settings.limits.shutdown_timeout,
@@ -43,25 +44,25 @@
 
 
 class EntryProcess:
-    """One ``boragegw serve``.
+    """The process behind ``boragegw serve``.
 
     :param settings: a :class:`~boragegw.configuration.Settings`.
-    :param parameters: a :class:`NodeParameters`; ``None`` takes the settings'.
+    :param parameters: a :class:`NodeParameters`; ``None`` derives it from the settings.
     """
 
     def __init__(self, settings, parameters=None):
         self.settings = settings
-        self.parameters = parameters or parameters_of(settings)
+        self.parameters = parameters or parameters_from_settings(settings)
         self.node = None
         self._listeners = []
         self._tasks = utils.TaskSet()
         self._bind()
 
     def _bind(self):
-        own = self.settings.entry
-        self._caller_socket = _listener.bind(own.caller_address)
-        self._operator_socket = _listener.bind(own.operator_address)
-        self._peer_socket, self._udp_socket = _bind_peer(own.peer_address)
+        addresses = self.settings.entry
+        self._caller_socket = _listener.bind(addresses.caller_address)
+        self._operator_socket = _listener.bind(addresses.operator_address)
+        self._peer_socket, self._udp_socket = _bind_peer(addresses.peer_address)
         self.caller_address = _listener.socket_address(self._caller_socket)
         self.operator_address = _listener.socket_address(self._operator_socket)
         self.peer_address = _listener.socket_address(self._peer_socket)
@@ -122,10 +123,10 @@
         ]
 
     async def start(self):
-        """Listen, learn what is in force, and serve."""
+        """Listen, load the configuration in force, and serve."""
         self._build()
         await self._udp.listen(self._udp_socket)
-        self._listening = [
+        self._listener_tasks = [
             self._tasks.start(listener.serve_until_stopped(), "listener")
             for listener in self._listeners
         ]
@@ -142,7 +143,7 @@
 
     async def _report_metrics(self):
         while True:
-            await asyncio.sleep(METRICS_INTERVAL)
+            await asyncio.sleep(METRICS_INTERVAL_SECONDS)
             self._metrics.flush()
 
     async def stop(self):
@@ -152,45 +153,45 @@
         return finished
 
     async def kill(self):
-        """End at once, as a crash would: nothing is announced or handed over."""
+        """End at once, as a crash would: without announcement or key table handover."""
         for listener in self._listeners:
             listener.abort()
         await self.node.close()
-        await self._end_tasks()
+        await self._stop_tasks()
 
     async def _close_listeners(self):
         for listener in self._listeners:
             listener.request_stop()
-        await self._end_tasks()
+        await self._stop_tasks()
 
-    async def _end_tasks(self):
-        await asyncio.wait(self._listening)
+    async def _stop_tasks(self):
+        await asyncio.wait(self._listener_tasks)
         await self._tasks.stop()
 
     async def run(self):
-        """Serve until SIGTERM or SIGINT; a second signal ends at once.
+        """Serve until SIGTERM or SIGINT; a second signal ends the process at once.
 
-        :returns: the exit code: 0 if all work in flight was finished.
+        :returns: the exit code, 0 if all work in flight was finished and 1 otherwise.
         """
         loop = asyncio.get_running_loop()
-        told = asyncio.Event()
-        again = asyncio.Event()
+        stop_requested = asyncio.Event()
+        abort_requested = asyncio.Event()
 
         def on_signal():
-            (again if told.is_set() else told).set()
+            (abort_requested if stop_requested.is_set() else stop_requested).set()
 
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, on_signal)
         await self.start()
-        await told.wait()
+        await stop_requested.wait()
         logger.info("stopping")
         stopping = loop.create_task(self.stop())
-        forced = loop.create_task(again.wait())
-        await asyncio.wait((stopping, forced), return_when=asyncio.FIRST_COMPLETED)
-        forced.cancel()
+        abort_wait = loop.create_task(abort_requested.wait())
+        await asyncio.wait((stopping, abort_wait), return_when=asyncio.FIRST_COMPLETED)
+        abort_wait.cancel()
         if stopping.done():
             return 0 if stopping.result() else 1
-        logger.error("stopped at once by a second signal")
+        logger.error("graceful shutdown aborted by a second signal")
         stopping.cancel()
         return 1
 
@@ -198,7 +199,8 @@
 def _bind_peer(address):
     """Return a TCP and a UDP socket on the same port.
 
-    With port 0 the kernel's choice for TCP may be taken for UDP; then try again.
+    With port 0 the port that the kernel chose for TCP may be in use for UDP; the
+    function then retries with another one, up to 20 times.
     """
     for _ in range(20):
         stream = _listener.bind(address)
@@ -212,4 +214,4 @@
                 raise
             continue
         return stream, datagram
-    raise OSError("no port free for both TCP and UDP")
+    raise OSError("found no port that is free for both TCP and UDP")
--- a/boragegw/server/tests/test_graceful_stop.py
+++ b/boragegw/server/tests/test_graceful_stop.py
@@ -1,4 +1,4 @@
-"""Entries are replaced one after the other while downloads and filings go on."""
+"""Entries are replaced one after the other while callers send requests."""
 
 import asyncio
 import collections
@@ -24,28 +24,28 @@
     )
 
 
-async def _file(caller, stop, seen):
+async def _send_posts(caller, stop, outcomes):
     number = 0
     while not stop.is_set():
         number += 1
-        key, answer = await caller.post("filing", f"/{caller.name}/{number}", b"x", 1)
-        seen["filing", "none" if answer is None else answer.status] += 1
+        key, response = await caller.post("filing", f"/{caller.name}/{number}", b"x", 1)
+        outcomes["filing", "none" if response is None else response.status] += 1
 
 
-async def _download(caller, stop, seen):
+async def _send_downloads(caller, stop, outcomes):
     while not stop.is_set():
         try:
-            answer = await caller.send("archives", "GET", "/archive")
+            response = await caller.send("archives", "GET", "/archive")
         except httpx.HTTPError as error:
-            seen["download", repr(error)] += 1
+            outcomes["download", repr(error)] += 1
             continue
-        whole = answer.status == 200 and answer.body == CONTENT
-        seen["download", "whole" if whole else answer.code] += 1
+        complete = response.status == 200 and response.body == CONTENT
+        outcomes["download", "whole" if complete else response.code] += 1
 
 
 async def _scenario(folder):
     fleet = standins.LocalFleet(folder, SERVICES, 3, parameters)
-    seen = collections.Counter()
+    outcomes = collections.Counter()
     try:
         await fleet.start()
         for backend in fleet.backends.values():
@@ -54,25 +54,27 @@
         stop = asyncio.Event()
         callers = [fleet.caller(f"c{i}") for i in range(6)]
         tasks = [
-            asyncio.create_task((_download if i % 2 else _file)(caller, stop, seen))
+            asyncio.create_task(
+                (_send_downloads if i % 2 else _send_posts)(caller, stop, outcomes)
+            )
             for i, caller in enumerate(callers)
         ]
         finished = [await fleet.replace_entry(name) for name in list(fleet.entries)]
         stop.set()
         await asyncio.gather(*tasks)
         keys = [key for _, key, _ in fleet.runs if key]
-        return finished, seen, keys
+        return finished, outcomes, keys
     finally:
         await fleet.stop()
 
 
-def test_replacing_entries_cuts_off_nothing(tmp_path):
-    """An operator replaces entry VMs on deadline day; an archive download breaks off
-    and a filer gets no answer, because the process ended with work in flight.
+def test_replacing_entries_interrupts_no_request(tmp_path):
+    """Guards against truncated downloads and failed requests when an operator replaces
+    entry VMs under load, which happen if a process ends with work in flight.
 
-    Each entry leaves the list of entries, finishes what it has, then ends.
+    Each entry leaves the list of entries, finishes the work in flight, then ends.
     """
-    finished, seen, keys = asyncio.run(_scenario(tmp_path))
+    finished, outcomes, keys = asyncio.run(_scenario(tmp_path))
     assert finished == [True, True, True]
-    assert set(seen) == {("filing", 200), ("download", "whole")}
-    assert len(keys) == len(set(keys)) == seen["filing", 200]
+    assert set(outcomes) == {("filing", 200), ("download", "whole")}
+    assert len(keys) == len(set(keys)) == outcomes["filing", 200]
--- a/boragegw/server/tests/test_listener.py
+++ b/boragegw/server/tests/test_listener.py
@@ -3,12 +3,12 @@
 from boragegw.server import _listener
 
 
-def test_listening_sockets_name_their_protocol():
-    """Every call took 40 ms more than its service time, on an idle machine.
+def test_listening_sockets_have_the_tcp_protocol_number():
+    """Guards against 40 ms of extra latency for each request on an idle machine.
 
-    An answer's head and body are written one after the other; Nagle's algorithm held
-    the body back until the head was acknowledged, because asyncio switches it off
-    only on sockets made with the protocol number of TCP.
+    The headers and the body of a response are written separately. Nagle's algorithm
+    delays the body until the headers are acknowledged, and asyncio disables it only on
+    sockets that are created with the protocol number of TCP.
     """
     with _listener.bind("127.0.0.1:0") as sock:
         assert sock.proto == socket.IPPROTO_TCP
