--- a/boragegw/operations/__init__.py
+++ b/boragegw/operations/__init__.py
@@ -1,4 +1,4 @@
-"""What operators see: status, metrics, traces, logs."""
+"""The interfaces for operators: status, metrics, traces, logs and log analysis."""
 
 from boragegw.operations._application import OperatorApplication
 from boragegw.operations._logs import JsonLinesFormatter, configure_logging
--- a/boragegw/operations/_application.py
+++ b/boragegw/operations/_application.py
@@ -1,4 +1,4 @@
-"""The operator port: live, ready, status, explain, and a status page."""
+"""The operator interface: liveness, readiness, status, explain and a status page."""
 
 import html
 import json
@@ -51,9 +51,11 @@
 
 
 class OperatorApplication:
-    """Adapts the status functions to HTTP; read only.
+    """Serves the status functions over HTTP; the interface is read-only.
 
-    :param is_ready: function that tells whether this entry takes requests.
+    :param board: the blackboard.
+    :param keys: the table of idempotency keys.
+    :param is_ready: function that returns whether this entry accepts requests.
     """
 
     def __init__(self, board, clock, keys, is_ready):
@@ -85,11 +87,11 @@
 
         @litestar.get("/ops/explain/{request_id:str}", sync_to_thread=False)
         def explain(request_id: str) -> litestar.Response:
-            found = _status.explain_request(self.board, request_id)
-            if found is None:
-                missing = {"detail": f"request {request_id!r} is not remembered here"}
-                return litestar.Response(missing, status_code=404)
-            return litestar.Response(found)
+            record = _status.explain_request(self.board, request_id)
+            if record is None:
+                problem = {"detail": f"request {request_id!r} is not remembered here"}
+                return litestar.Response(problem, status_code=404)
+            return litestar.Response(record)
 
         @litestar.get("/", media_type=litestar.MediaType.HTML, sync_to_thread=False)
         def page() -> str:
--- a/boragegw/operations/_logs.py
+++ b/boragegw/operations/_logs.py
@@ -1,10 +1,12 @@
-"""Logs as JSON lines on standard error."""
+"""Logging as JSON lines on standard error."""
 
 import datetime
 import json
 import logging
 
-_STANDARD = frozenset(vars(logging.LogRecord("", 0, "", 0, "", None, None)).keys()) | {
+_STANDARD_ATTRIBUTES = frozenset(
+    vars(logging.LogRecord("", 0, "", 0, "", None, None)).keys()
+) | {
     "message",
     "asctime",
     "taskName",
@@ -13,19 +15,19 @@
 
 
 class JsonLinesFormatter(logging.Formatter):
-    """One JSON object a line: time, level, logger, message, and all extras."""
+    """Formats a record as JSON: time, level, logger, message and extra fields."""
 
     def format(self, record):
-        """Return the line for ``record``."""
-        moment = datetime.datetime.fromtimestamp(record.created, datetime.UTC)
+        """Return the JSON line for ``record``."""
+        timestamp = datetime.datetime.fromtimestamp(record.created, datetime.UTC)
         row = {
-            "time": moment.isoformat(timespec="milliseconds"),
+            "time": timestamp.isoformat(timespec="milliseconds"),
             "level": record.levelname,
             "logger": record.name,
             "message": record.getMessage(),
         }
         for name, value in vars(record).items():
-            if name not in _STANDARD:
+            if name not in _STANDARD_ATTRIBUTES:
                 row[name] = value
         if record.exc_info:
             row["exception"] = self.formatException(record.exc_info)
@@ -33,18 +35,22 @@
 
 
 def configure_logging(level, entry_name=""):
-    """Send all logs of this process to standard error as JSON lines."""
+    """Configure logging of this process as JSON lines on standard error.
+
+    :param level: lowest level that is logged.
+    :param entry_name: added to each line as ``entry`` unless it is empty.
+    """
     handler = logging.StreamHandler()
     handler.setFormatter(JsonLinesFormatter())
     if entry_name:
         handler.addFilter(_EntryNameFilter(entry_name))
     logging.basicConfig(level=level, handlers=[handler], force=True)
-    for noisy in ("httpx", "httpcore", "uvicorn.access"):
-        logging.getLogger(noisy).setLevel(logging.WARNING)
+    for logger_name in ("httpx", "httpcore", "uvicorn.access"):
+        logging.getLogger(logger_name).setLevel(logging.WARNING)
 
 
 class _EntryNameFilter(logging.Filter):
-    """Adds the entry's name to each record."""
+    """Adds the name of the entry to each record."""
 
     def __init__(self, entry_name):
         super().__init__()
--- a/boragegw/operations/_metrics.py
+++ b/boragegw/operations/_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd, named by one table."""
+"""The table of all metrics, and the statsd reporter."""
 
 import statsd
 
@@ -40,11 +40,13 @@
 
 
 class MetricsReporter:
-    """Sends what has changed since the last time, in one statsd pipeline.
+    """Sends changed counters and all gauges to statsd, in one pipeline.
 
-    :param address: ``host:port`` of the statsd server, or ``None`` for nowhere.
-    :param prefix: first part of each name.
-    :param client: a statsd client, for tests.
+    :param board: the blackboard with the counters.
+    :param keys: the table of idempotency keys.
+    :param address: ``host:port`` of the statsd server; ``None`` disables the reporter.
+    :param prefix: first part of each metric name.
+    :param client: a statsd client to use instead of one for ``address``.
     """
 
     def __init__(
@@ -62,7 +64,7 @@
             self._client = statsd.StatsClient(host.strip("[]"), int(port), prefix)
 
     def flush(self):
-        """Send counters and gauges."""
+        """Send the counters that changed since the last call, and all gauges."""
         if self._client is None:
             return
         with self._client.pipeline() as pipeline:
@@ -75,7 +77,7 @@
                 pipeline.gauge(name, value)
 
     def gauges(self):
-        """Yield the gauges' names and values."""
+        """Yield the name and value of each gauge."""
         board = self.board
         now = self.clock.now()
         yield "gauge.in_flight", board.lifecycle.in_flight
--- a/boragegw/operations/_status.py
+++ b/boragegw/operations/_status.py
@@ -1,9 +1,10 @@
-"""The fleet at a glance, from one entry's blackboard."""
+"""The status document of the fleet, as one entry's blackboard has it."""
 
 import dataclasses
 
 from boragegw import blackboard
 
+#: Titles of the columns of a table of services.
 SERVICE_COLUMNS = (
     "service",
     "backend servers",
@@ -18,7 +19,7 @@
 
 
 def service_cells(name, row):
-    """Return a service's cells for :data:`SERVICE_COLUMNS`."""
+    """Return the cells of a service in the order of :data:`SERVICE_COLUMNS`."""
     return (
         name,
         row["backends"],
@@ -80,13 +81,13 @@
 
 
 def build_status(board, clock, keys):
-    """Return the status document of this entry and what it knows of the others."""
+    """Return the status document of this entry and its view of the other entries."""
     now = clock.now()
     members = [_own_row(board, now)]
     latest = {}
     for member in board.membership.members.values():
-        known = latest.get(member.name)
-        if known is None or member.heard_at > known.heard_at:
+        other = latest.get(member.name)
+        if other is None or member.heard_at > other.heard_at:
             latest[member.name] = member
     members += [_member_row(m, now) for _, m in sorted(latest.items())]
     recalls = [
@@ -110,6 +111,9 @@
 
 
 def explain_request(board, request_id):
-    """Return why a request went where it went, or ``None`` if it is not remembered."""
-    note = board.request_history.find(request_id)
-    return None if note is None else dataclasses.asdict(note)
+    """Return the attempts and verdicts of a request as a dictionary.
+
+    The history is bounded: the result is ``None`` for a request that it does not hold.
+    """
+    record = board.request_history.find(request_id)
+    return None if record is None else dataclasses.asdict(record)
--- a/boragegw/operations/_stories.py
+++ b/boragegw/operations/_stories.py
@@ -1,8 +1,9 @@
-"""Puts the log lines that tell a request's story in order, over several processes.
+"""Merges the logs of several processes and extracts the timeline of a request.
 
-Clocks differ between machines and may jump. Each line carries the time of day and the
-steady clock of its machine; the steady clocks are aligned by what all processes see at
-about the same moment: the adoption of a configuration.
+Clocks differ between machines, and the wall clock may jump. Each line has the time of
+the wall clock and of the monotonic clock of its machine. The monotonic clocks are
+aligned by an event that all processes log at about the same time: the adoption of a
+configuration.
 """
 
 import collections
@@ -10,10 +11,10 @@
 import json
 import statistics
 
-#: Seconds around the request's own lines in which lines about the same backend servers
-#: and about the process's state are shown.
+#: Seconds before and after the lines of a request, from which lines about the same
+#: backend servers and about the state of its processes are included.
 CONTEXT_SECONDS = 2.0
-#: Events about one request that name it in another field than ``request``.
+#: Events about the state of a process.
 STATE_EVENTS = frozenset(
     (
         "configuration",
@@ -38,10 +39,11 @@
 class LogLine:
     """One line of a log.
 
-    :param life: number of the process's start that wrote it.
-    :param at: seconds on its machine's steady clock.
-    :param time: seconds of its machine's time of day.
-    :param moment: seconds on the common clock, once aligned.
+    :param life: number of starts of the process so far in the logs; it identifies the
+        run that wrote the line.
+    :param at: time of the machine's monotonic clock in seconds.
+    :param time: time of the machine's wall clock in seconds.
+    :param aligned_at: time of the common clock in seconds, set by the alignment.
     """
 
     process: str
@@ -54,19 +56,19 @@
 
     @property
     def process_run(self):
-        """The process's life that wrote it: its steady clock is its own."""
+        """The run that wrote the line; each run has its own monotonic clock."""
         return self.process, self.life
 
     def mentions(self, identities):
-        """Return whether one of ``identities`` is the server of this line."""
+        """Return whether the server of this line is one of ``identities``."""
         return self.fields.get("server") in identities
 
 
 @dataclasses.dataclass(slots=True)
 class MergedLogs:
-    """Lines of several processes on one clock.
+    """Lines of several processes, ordered by a common clock.
 
-    :param unreadable: lines that are no JSON object of this log.
+    :param unreadable: number of lines that are not JSON objects of this log.
     """
 
     lines: list
@@ -76,26 +78,26 @@
 def read_logs(texts):
     """Return the :class:`MergedLogs` of an iterable of lines, in any order of files.
 
-    What stands before the first ``{`` of a line is left out: collectors put their own
+    Text before the first ``{`` of a line is ignored, since log collectors put their own
     time and host there.
     """
     lines = []
     unreadable = 0
-    lives = collections.Counter()
+    starts = collections.Counter()
     for text in texts:
         if not text.strip():
             continue
-        line = _line(text, lives)
+        line = _parse_line(text, starts)
         if line is None:
             unreadable += 1
         else:
             lines.append(line)
-    _align(lines)
+    _align_clocks(lines)
     lines.sort(key=lambda line: line.aligned_at)
     return MergedLogs(lines, unreadable)
 
 
-def _line(text, lives):
+def _parse_line(text, starts):
     start = text.find("{")
     try:
         row = json.loads(text[start:]) if start >= 0 else None
@@ -106,16 +108,16 @@
     except (ValueError, KeyError, TypeError, AttributeError):
         return None
     if event == "start":
-        lives[process] += 1
-    return LogLine(process, lives[process], at, time, event, row)
+        starts[process] += 1
+    return LogLine(process, starts[process], at, time, event, row)
 
 
-def _align(lines):
-    """Set the common moment of each line.
+def _align_clocks(lines):
+    """Set ``aligned_at`` of each line.
 
-    The reference is the writer with the most lines. A writer that shares adopted
-    configurations with it is shifted by the median difference; any other one by the
-    difference of the two times of day.
+    The reference is the run with the most lines. A run that adopted some of the same
+    configurations is shifted by the median difference of these times; any other run is
+    shifted by the difference of the two wall clocks.
     """
     by_run = collections.defaultdict(list)
     for line in lines:
@@ -123,15 +125,15 @@
     if not by_run:
         return
     reference = max(by_run.values(), key=len)
-    adopted = _adoptions(reference)
-    for own in by_run.values():
-        shift = _shift(own, reference, adopted)
-        for line in own:
+    reference_times = _adoption_times(reference)
+    for own_lines in by_run.values():
+        shift = _clock_shift(own_lines, reference, reference_times)
+        for line in own_lines:
             line.aligned_at = line.at + shift
 
 
-def _adoptions(lines):
-    """Return when each version was adopted, on the writer's steady clock."""
+def _adoption_times(lines):
+    """Return the time of each version's adoption on the run's monotonic clock."""
     return {
         line.fields.get("version"): line.at
         for line in lines
@@ -139,35 +141,38 @@
     }
 
 
-def _shift(own, reference, adopted):
-    common = [
-        adopted[version] - at
-        for version, at in _adoptions(own).items()
-        if version in adopted
+def _clock_shift(own_lines, reference, reference_times):
+    differences = [
+        reference_times[version] - at
+        for version, at in _adoption_times(own_lines).items()
+        if version in reference_times
     ]
-    if common:
-        return statistics.median(common)
-    offset = statistics.median(line.time - line.at for line in own)
-    return offset - statistics.median(line.time - line.at for line in reference)
+    if differences:
+        return statistics.median(differences)
+    wall_offset = statistics.median(line.time - line.at for line in own_lines)
+    return wall_offset - statistics.median(line.time - line.at for line in reference)
 
 
-def request_timeline(logs, request_id, around=CONTEXT_SECONDS):
-    """Return the lines that tell what happened to a request, in order.
+def request_timeline(logs, request_id, context=CONTEXT_SECONDS):
+    """Return the lines that explain what happened to a request, in order.
 
-    They are its own lines, and within ``around`` seconds of them what its processes
-    wrote about their state and what anybody wrote about the backend servers it met.
+    These are the lines about the request itself and, up to ``context`` seconds before
+    and after them, lines of its processes about their state and lines of any process
+    about the backend servers to which it was sent.
     """
-    own = [line for line in logs.lines if line.fields.get("request") == request_id]
-    if not own:
+    own_lines = [
+        line for line in logs.lines if line.fields.get("request") == request_id
+    ]
+    if not own_lines:
         return []
-    first = own[0].aligned_at - around
-    last = own[-1].aligned_at + around
-    processes = {line.process for line in own}
-    servers = set(_servers_of(own))
+    first = own_lines[0].aligned_at - context
+    last = own_lines[-1].aligned_at + context
+    processes = {line.process for line in own_lines}
+    servers = set(_servers_of(own_lines))
     return [
         line
         for line in logs.lines
-        if line in own
+        if line in own_lines
         or (
             first <= line.aligned_at <= last
             and (
@@ -179,9 +184,9 @@
 
 
 def _servers_of(lines):
-    """Yield the identities of the backend servers that a request met."""
+    """Yield the identities of the backend servers to which a request was sent."""
     for line in lines:
         if "server" in line.fields:
             yield line.fields["server"]
-        for send in line.fields.get("sent") or ():
-            yield send["server"]
+        for attempt in line.fields.get("sent") or ():
+            yield attempt["server"]
--- a/boragegw/operations/_summary.py
+++ b/boragegw/operations/_summary.py
@@ -1,19 +1,19 @@
-"""Counts what went wrong in the logs of many processes: by reason, second, service."""
+"""Counts refused, failed and late requests in the logs of many processes."""
 
 import collections
 import dataclasses
 
-#: Seconds that share a row.
+#: Length of the time intervals of the summary, in seconds.
 STEP_SECONDS = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestProblem:
-    """One request that ended badly, as its process logged it.
+    """One request that was refused, failed or answered late, as its process logged it.
 
-    :param second: start of its step, in seconds after the first line of the logs.
+    :param second: start of its interval, in seconds after the first line of the logs.
     :param outcome: ``refused``, ``failed`` or ``late``.
-    :param reason: why, in the words of the log, and how often it was sent.
+    :param reason: the logged reason and the number of attempts.
     """
 
     second: float
@@ -24,17 +24,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Summary:
-    """What the logs tell of requests that ended badly.
+    """All refused, failed and late requests in the logs.
 
-    :param troubles: list of :class:`RequestProblem`, in order.
-    :param left_out: lines of such requests that the processes did not write.
+    :param problems: list of :class:`RequestProblem`, in order of time.
+    :param omitted_lines: number of lines about such requests that the processes omitted
+        because of their rate limit for log lines.
     """
 
     problems: list
     omitted_lines: int
 
     def count(self, *fields):
-        """Return rows of the values of ``fields`` and a count, the largest first."""
+        """Return rows of the values of ``fields`` and their count, largest first."""
         counts = collections.Counter(
             tuple(getattr(problem, field) for field in fields)
             for problem in self.problems
@@ -42,7 +43,7 @@
         return [(*values, number) for values, number in counts.most_common()]
 
     def by_second(self):
-        """Return rows of second, refused, failed and late, in order of time."""
+        """Return rows of second and counts of refused, failed and late requests."""
         rows = collections.defaultdict(collections.Counter)
         for problem in self.problems:
             rows[problem.second][problem.outcome] += 1
@@ -56,16 +57,16 @@
 def summarize(logs, step=STEP_SECONDS):
     """Return the :class:`Summary` of :class:`~boragegw.operations.MergedLogs`.
 
-    :param step: seconds that share a row.
+    :param step: length of an interval in seconds.
     """
-    start = min((line.aligned_at for line in logs.lines), default=0.0)
+    first = min((line.aligned_at for line in logs.lines), default=0.0)
     problems = []
     omitted_lines = 0
     for line in logs.lines:
-        outcome = _outcome(line)
+        outcome = _classify(line)
         if outcome is not None:
-            second = (line.aligned_at - start) // step * step
-            problems.append(_request_problem(line, second, outcome))
+            second = (line.aligned_at - first) // step * step
+            problems.append(_build_problem(line, second, outcome))
         elif line.event == "left-out":
             counts = line.fields.get("lines", {})
             omitted_lines += counts.get("request-failed", 0) + counts.get(
@@ -74,7 +75,7 @@
     return Summary(problems, omitted_lines)
 
 
-def _outcome(line):
+def _classify(line):
     if line.event == "answered-late":
         return "late"
     if line.event != "request-failed":
@@ -82,13 +83,13 @@
     return "refused" if line.fields.get("status") == 503 else "failed"
 
 
-def _request_problem(line, second, outcome):
-    sends = len(line.fields.get("sent") or ())
+def _build_problem(line, second, outcome):
+    attempts = len(line.fields.get("sent") or ())
     status = line.fields.get("status", "?")
     reason = line.fields.get("reason") or f"answer {status}"
     return RequestProblem(
         second=second,
         outcome=outcome,
         service=line.fields.get("service", "?"),
-        reason=f"{reason}, sent {sends} times",
+        reason=f"{reason}, sent {attempts} times",
     )
--- a/boragegw/operations/_traces.py
+++ b/boragegw/operations/_traces.py
@@ -1,4 +1,4 @@
-"""Traces by OpenTelemetry: JSON lines to a file, or OTLP to a collector."""
+"""OpenTelemetry traces, exported as JSON lines to a file or by OTLP to a collector."""
 
 import pathlib
 
@@ -14,7 +14,7 @@
 
 
 class _Span(entry.Span):
-    """An OpenTelemetry span."""
+    """Adapts an OpenTelemetry span."""
 
     __slots__ = ("_span",)
 
@@ -36,7 +36,7 @@
 class OpenTelemetryTracer(entry.Tracer):
     """Records spans with an OpenTelemetry provider.
 
-    :param provider: a ``TracerProvider``.
+    :param provider: an OpenTelemetry ``TracerProvider``.
     """
 
     def __init__(self, provider):
@@ -44,7 +44,10 @@
         self._tracer = provider.get_tracer("boragegw")
 
     def start(self, name, parent, **attributes):
-        """Start a span under ``parent``."""
+        """Start a span.
+
+        :param parent: the parent's ``traceparent`` header, or ``None`` for a new trace.
+        """
         context = None
         if parent is not None:
             context = _PROPAGATOR.extract({"traceparent": parent.decode("latin1")})
@@ -52,16 +55,16 @@
         return _Span(span)
 
     def close(self):
-        """Export what is left."""
+        """Export the remaining spans and shut the provider down."""
         self.provider.shutdown()
 
 
 def make_tracer(target, ratio, entry_name):
-    """Return a tracer for the settings' target.
+    """Return a tracer for the trace target of the settings.
 
-    :param target: "" for none, an ``http://`` address for OTLP, else a file for JSON
-        lines.
-    :param ratio: share of traces recorded where the caller has not decided.
+    :param target: "" for no traces, an ``http://`` or ``https://`` address for OTLP,
+        or the path of a file for JSON lines.
+    :param ratio: share of traces that are sampled if the caller made no decision.
     """
     if not target:
         return entry.NullTracer()
--- a/boragegw/operations/tests/test_observation.py
+++ b/boragegw/operations/tests/test_observation.py
@@ -1,4 +1,4 @@
-"""Metrics, traces, logs and the operator interface."""
+"""Tests of metrics, traces, logs and the operator interface."""
 
 import asyncio
 import json
@@ -14,15 +14,15 @@
 SERVICES = [{"name": "filing", "backends": 1, "warm_up_ms": 0}]
 
 
-def test_every_counter_in_the_code_stands_in_the_table():
+def test_every_counter_in_the_code_is_in_the_metrics_table():
     table = set(operations.METRICS)
     pattern = re.compile(r"counters\[f?\"([a-z_.]+)")
     for path in PACKAGE.rglob("_*.py"):
         for name in pattern.findall(path.read_text()):
-            known = name in table or any(
+            documented = name in table or any(
                 row.startswith(name) for row in table if row != name
             )
-            assert known, f"{name} of {path.name} is not documented"
+            assert documented, f"{name} of {path.name} is not documented"
 
 
 class _FakePipeline:
@@ -50,7 +50,7 @@
         return _FakePipeline(self.sent)
 
 
-def with_fleet(folder, scenario):
+def run_with_fleet(folder, scenario):
     def parameters():
         return server.NodeParameters(heartbeat_interval=0.1)
 
@@ -79,7 +79,7 @@
         reporter.flush()
         return first, list(client.sent)
 
-    first, second = with_fleet(tmp_path, scenario)
+    first, second = run_with_fleet(tmp_path, scenario)
     assert ("requests.answered", 3) in first
     assert "requests.answered" not in dict(second)
     assert dict(second)["gauge.revision"] == 1
@@ -97,12 +97,12 @@
         caller = fleet.caller("c")
         key = await caller.new_key("filing")
         headers = {"traceparent": parent}
-        answer = await caller.send(
+        response = await caller.send(
             "filing", "POST", "/x", b"1", key, headers=headers, at=1
         )
-        assert answer.status == 200
+        assert response.status == 200
 
-    with_fleet(tmp_path, scenario)
+    run_with_fleet(tmp_path, scenario)
     spans = [
         json.loads(line)
         for path in tmp_path.glob("entry-*")
@@ -137,11 +137,11 @@
         process = fleet.entries["entry-1"]
         async with httpx.AsyncClient(trust_env=False) as client:
             for path, status in OPERATOR_PATHS.items():
-                answer = await client.get(f"http://{process.operator_address}{path}")
-                assert answer.status_code == status, path
+                response = await client.get(f"http://{process.operator_address}{path}")
+                assert response.status_code == status, path
             for path in ("/ops/status", "/peer/configuration"):
-                answer = await client.get(f"http://{process.caller_address}{path}")
-                assert answer.status_code == 404, path
+                response = await client.get(f"http://{process.caller_address}{path}")
+                assert response.status_code == 404, path
             forged = {"boragegw-peer-signature": "1.2.3"}
             for method, path in (
                 ("POST", "/peer/configuration"),
@@ -149,12 +149,12 @@
                 ("POST", "/peer/forward"),
             ):
                 url = f"http://{process.peer_address}{path}"
-                answer = await client.request(method, url, headers=forged)
-                assert answer.status_code == 403, path
+                response = await client.request(method, url, headers=forged)
+                assert response.status_code == 403, path
             status = await client.get(f"http://{process.operator_address}/ops/status")
         return status.json()
 
-    status = with_fleet(tmp_path, scenario)
+    status = run_with_fleet(tmp_path, scenario)
     assert [row["name"] for row in status["entries"]][0] == "entry-1"
     assert len(status["entries"]) == 3
     assert status["services"]["filing"]["backends"] == 3
