--- a/boragegw/configuration/__init__.py
+++ b/boragegw/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Validated models at the border: settings, published documents, questionnaire."""
+"""Validated models of external data: settings, published documents, questionnaire."""
 
 from boragegw.configuration._documents import (
     HeadDocument,
--- a/boragegw/configuration/_documents.py
+++ b/boragegw/configuration/_documents.py
@@ -1,4 +1,4 @@
-"""The documents that operators publish with the platform, and the list of VMs."""
+"""Models of the documents that operators publish, and of the platform's VM list."""
 
 import hashlib
 import json
@@ -13,8 +13,8 @@
 RECALLS = "recalls"
 BATCHES = "batches"
 SERVICE_PREFIX = "service."
-DOCUMENT_LIMIT = 1 << 20
-VM_LIST_LIMIT = 16 << 20
+MAX_DOCUMENT_BYTES = 1 << 20
+MAX_VM_LIST_BYTES = 16 << 20
 
 HARM_RANKS = {"low": 0, "medium": 1, "high": 2}
 
@@ -26,14 +26,14 @@
 
 
 class HeadDocument(_Model):
-    """The root: a revision that only grows, and a hash for each document."""
+    """The revision, which only increases, and the SHA-256 hash of each document."""
 
     revision: int = pydantic.Field(ge=1)
     documents: dict[str, Sha256]
 
 
 class RequestRule(_Model):
-    """Declares the requests of a service that match a method and a path prefix."""
+    """Properties of the requests that match a method and a path prefix."""
 
     method: str = pydantic.Field(default="*", pattern=r"^(\*|[A-Z]+)$")
     path_prefix: str = pydantic.Field(default="/", pattern="^/")
@@ -42,7 +42,7 @@
 
 
 class ServiceDocument(_Model):
-    """One service; times in milliseconds."""
+    """Settings of one service; times in milliseconds, sizes in bytes."""
 
     name: _settings.Name
     requests: list[RequestRule] = []
@@ -59,7 +59,7 @@
     body_limit: int = pydantic.Field(default=1 << 30, ge=0)
 
     def to_settings(self):
-        """Return the data class that decisions read."""
+        """Return the :class:`~boragegw.blackboard.ServiceSettings` for the policies."""
         return blackboard.ServiceSettings(
             name=self.name,
             idempotent_rules=tuple(
@@ -90,7 +90,7 @@
 
 
 class RecalledBatch(_Model):
-    """One recalled batch."""
+    """A recalled batch of backend servers."""
 
     kind: typing.Literal["data-centre", "release", "label", "vms"]
     values: list[_settings.Name] = pydantic.Field(min_length=1)
@@ -98,21 +98,23 @@
 
 
 class RecallsDocument(_Model):
-    """All recalled batches; a document of its own, so that answering the
-    questionnaire again cannot undo a recall.
+    """All recalled batches.
+
+    Recalls have a separate document, so that documents generated from new answers to
+    the questionnaire cannot undo a recall.
     """
 
     recalls: list[RecalledBatch] = []
 
     def to_recalls(self):
-        """Return the data classes that decisions read."""
+        """Return each :class:`~boragegw.blackboard.Recall` for the policies."""
         return tuple(
             blackboard.Recall(row.kind, frozenset(row.values)) for row in self.recalls
         )
 
 
 class NamedBatch(_Model):
-    """A batch with a name to recall it by."""
+    """A named batch of backend servers that can be recalled together."""
 
     name: _settings.Name
     kind: typing.Literal["data-centre", "release", "label", "vms"]
@@ -120,13 +122,13 @@
 
 
 class BatchesDocument(_Model):
-    """The named batches; the command line reads them, entries do not."""
+    """All named batches; only the command line reads them, not the entries."""
 
     batches: list[NamedBatch] = []
 
 
 class VmRecord(_Model):
-    """One VM of the platform's list."""
+    """One VM in the platform's list."""
 
     name: _settings.Name
     role: typing.Literal["backend", "entry"]
@@ -142,7 +144,7 @@
 
 
 class VmList(_Model):
-    """The platform's lagging list of live and leaving VMs."""
+    """The platform's list of live and leaving VMs, which may lag behind."""
 
     version: int = pydantic.Field(ge=1)
     vms: list[VmRecord]
@@ -152,20 +154,20 @@
 
 
 def encode_document(model):
-    """Return the canonical bytes of a document: same content, same bytes."""
+    """Return the canonical encoding of a document: equal content gives equal bytes."""
     data = model.model_dump(mode="json") if not isinstance(model, dict) else model
     return (json.dumps(data, indent=1, sort_keys=True) + "\n").encode()
 
 
 def build_head(revision, documents):
-    """Return the head document for raw ``documents`` by name."""
+    """Return the :class:`HeadDocument` for raw ``documents`` by name."""
     hashes = {
         name: hashlib.sha256(raw).hexdigest() for name, raw in sorted(documents.items())
     }
     return HeadDocument(revision=revision, documents=hashes)
 
 
-def _parse(model, raw, source, limit=DOCUMENT_LIMIT):
+def _parse(model, raw, source, limit=MAX_DOCUMENT_BYTES):
     if len(raw) > limit:
         raise errors.ConfigurationError(
             source, "size", f"{len(raw)} bytes, expected at most {limit}"
@@ -178,7 +180,7 @@
 
 
 def parse_head(raw):
-    """Return the validated :class:`HeadDocument` in ``raw``."""
+    """Return the validated :class:`HeadDocument` from ``raw``."""
     return _parse(HeadDocument, raw, HEAD)
 
 
@@ -208,11 +210,12 @@
 
 
 def parse_bundle(raw_head, documents):
-    """Return the configuration section's content from raw documents, whole or not.
+    """Return the validated configuration from raw documents.
 
+    :param documents: raw documents by name.
     :returns: the head, the service settings by name, and the recalls.
     :raises ConfigurationError: if a document is missing, does not match its hash or is
-        not valid; nothing is adopted then.
+        invalid; the configuration is then rejected as a whole.
     """
     head = parse_head(raw_head)
     services = {}
@@ -232,12 +235,12 @@
 
 
 def parse_vm_list(raw):
-    """Return version and VMs by name of the platform's list."""
-    rows = _parse(VmList, raw, "vms", VM_LIST_LIMIT)
+    """Return the version and the VMs by name from the platform's list."""
+    vm_list = _parse(VmList, raw, "vms", MAX_VM_LIST_BYTES)
     vms = {
         row.name: blackboard.VirtualMachine(
             **row.model_dump(exclude={"labels"}), labels=frozenset(row.labels)
         )
-        for row in rows.vms
+        for row in vm_list.vms
     }
-    return rows.version, vms
+    return vm_list.version, vms
--- a/boragegw/configuration/_generator.py
+++ b/boragegw/configuration/_generator.py
@@ -1,7 +1,7 @@
-"""Makes the configuration documents from the questionnaire's answers.
+"""Generates the configuration documents from the answers to the questionnaire.
 
-The same answers give the same bytes, and each value is explained by the answer that
-caused it.
+The output is deterministic: the same answers give the same bytes. Each value carries
+the answer from which it is derived.
 """
 
 import dataclasses
@@ -9,14 +9,21 @@
 
 from boragegw.configuration import _documents
 
-RANKS = ("low", "medium", "high")
-QUEUE_SHARE = 0.25
+#: Levels of harm in ascending order.
+HARM_LEVELS = ("low", "medium", "high")
+#: Share of the deadline for which the queue holds the requests of the peak rate.
+QUEUE_DEADLINE_SHARE = 0.25
+#: Requests per second of a service that one entry handles.
 ENTRY_CAPACITY_PER_S = 300.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GeneratedValue:
-    """One value of a document and why it is what it is."""
+    """One value of a document and its origin.
+
+    :param document: name of the document.
+    :param origin: the answers from which the value is derived.
+    """
 
     document: str
     key: str
@@ -25,58 +32,62 @@
 
 
 def generate(answers):
-    """Yield the :class:`GeneratedValue` of all documents."""
+    """Yield each :class:`GeneratedValue` of all documents."""
     for service in answers.services:
-        yield from _service_values(service, answers)
+        yield from _generate_service(service, answers)
     batches = [batch.model_dump() for batch in answers.batches]
     yield GeneratedValue("batches", "batches", batches, "answer batches")
 
 
-def _service_values(service, answers):
+def _generate_service(service, answers):
     document = f"service.{service.name}"
-    source = f"answer services.{service.name}"
+    answer_path = f"answer services.{service.name}"
     for key, value, origin in (
-        ("name", service.name, f"{source}.name"),
-        ("deadline_ms", round(service.deadline_s * 1000), f"{source}.deadline_s"),
-        ("cold_in_flight", service.cold_bears, f"{source}.cold_bears"),
-        ("warm_up_ms", round(service.cold_start_s * 1000), f"{source}.cold_start_s"),
+        ("name", service.name, f"{answer_path}.name"),
+        ("deadline_ms", round(service.deadline_s * 1000), f"{answer_path}.deadline_s"),
+        ("cold_in_flight", service.cold_bears, f"{answer_path}.cold_bears"),
+        (
+            "warm_up_ms",
+            round(service.cold_start_s * 1000),
+            f"{answer_path}.cold_start_s",
+        ),
         (
             "non_idempotent_body_limit",
             service.largest_request_kb * 1024,
-            f"{source}.largest_request_kb",
+            f"{answer_path}.largest_request_kb",
         ),
-        ("queue_limit", *_queue_limit(service, source)),
-        ("subset_size", *_subset_size(service, answers, source)),
-        ("hedge_budget", *_hedge_budget(service, source)),
-        ("requests", *_requests(service, source)),
+        ("queue_limit", *_queue_limit(service, answer_path)),
+        ("subset_size", *_subset_size(service, answers, answer_path)),
+        ("hedge_budget", *_hedge_budget(service, answer_path)),
+        ("requests", *_request_rules(service, answer_path)),
     ):
         yield GeneratedValue(document, key, value, origin)
 
 
-def _queue_limit(service, source):
-    """Return the queue: what the peak brings in a quarter of the deadline."""
-    waiting = service.peak_per_s * service.deadline_s * QUEUE_SHARE
-    limit = min(max(10, math.ceil(waiting)), 10_000)
-    return limit, f"{source}.peak_per_s x deadline_s x {QUEUE_SHARE}"
+def _queue_limit(service, answer_path):
+    """Return the queue limit: the requests of a quarter of the deadline at peak."""
+    queued = service.peak_per_s * service.deadline_s * QUEUE_DEADLINE_SHARE
+    limit = min(max(10, math.ceil(queued)), 10_000)
+    return limit, f"{answer_path}.peak_per_s x deadline_s x {QUEUE_DEADLINE_SHARE}"
 
 
-def _subset_size(service, answers, source):
-    """Return the entries of the service: one a data centre, more for a high rate."""
-    by_rate = math.ceil(service.peak_per_s / ENTRY_CAPACITY_PER_S)
-    size = min(max(len(answers.data_centres), by_rate), answers.entries)
+def _subset_size(service, answers, answer_path):
+    """Return the number of entries: one per data centre, more for a high peak rate."""
+    entries_for_rate = math.ceil(service.peak_per_s / ENTRY_CAPACITY_PER_S)
+    size = min(max(len(answers.data_centres), entries_for_rate), answers.entries)
     return size, (
-        f"one entry for each of answer data_centres, and {source}.peak_per_s at "
+        f"one entry for each of answer data_centres, and {answer_path}.peak_per_s at "
         f"{ENTRY_CAPACITY_PER_S:.0f}/s an entry"
     )
 
 
-def _hedge_budget(service, source):
-    """Return the hedges: fewer where each backend server has few slots."""
+def _hedge_budget(service, answer_path):
+    """Return the hedge budget, which is smaller for backend servers with few slots."""
     budget = 0.05 if service.slots >= 4 else 0.03
-    return budget, f"{source}.slots"
+    return budget, f"{answer_path}.slots"
 
 
-def _requests(service, source):
+def _request_rules(service, answer_path):
     rules = [
         {
             "method": request.method,
@@ -84,17 +95,20 @@
             "idempotent": request.repeatable,
             "harm": max(
                 (request.if_late, request.if_lost, request.if_doubled),
-                key=RANKS.index,
+                key=HARM_LEVELS.index,
             ),
         }
         for request in service.requests
     ]
     rules.sort(key=lambda rule: (-len(rule["path_prefix"]), rule["method"] == "*"))
-    return rules, f"{source}.requests: repeatable, and the worst of the three harms"
+    return (
+        rules,
+        f"{answer_path}.requests: repeatable, and the worst of the three harms",
+    )
 
 
 def build_documents(values):
-    """Return the raw documents by name of generated values."""
+    """Return the raw documents by name for generated values."""
     contents = {}
     for value in values:
         contents.setdefault(value.document, {})[value.key] = value.value
--- a/boragegw/configuration/_jsonc.py
+++ b/boragegw/configuration/_jsonc.py
@@ -1,4 +1,4 @@
-"""JSON with comments, and one-line errors from models."""
+"""Reading of JSON with comments, and one-line errors for invalid models."""
 
 import pathlib
 
@@ -11,7 +11,7 @@
 def load_jsonc(path):
     """Return the parsed content of a file in JSON with comments.
 
-    :raises ConfigurationError: if it cannot be read or parsed.
+    :raises ConfigurationError: if the file cannot be read or parsed.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -29,21 +29,22 @@
 def validate_model(model, data, source):
     """Return ``data`` as an instance of the pydantic class ``model``.
 
-    :raises ConfigurationError: naming the first key at fault, its value and what was
+    :param source: name of the data in the error message.
+    :raises ConfigurationError: with the first invalid key, its value and what was
         expected.
     """
     try:
         return model.model_validate(data)
     except pydantic.ValidationError as error:
-        raise _first_fault(error, source) from error
+        raise _first_error(error, source) from error
 
 
-def _first_fault(error, source):
-    faults = error.errors(include_url=False)
-    fault = faults[0]
-    key = ".".join(str(part) for part in fault["loc"]) or "document"
-    value = repr(fault["input"])
+def _first_error(error, source):
+    details = error.errors(include_url=False)
+    first = details[0]
+    key = ".".join(str(part) for part in first["loc"]) or "document"
+    value = repr(first["input"])
     shown = value if len(value) <= 80 else value[:77] + "..."
-    detail = fault["msg"].replace("\n", " ")
-    more = f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
-    return errors.ConfigurationError(source, key, f"{shown}: {detail}{more}")
+    message = first["msg"].replace("\n", " ")
+    suffix = f" (and {len(details) - 1} more)" if len(details) > 1 else ""
+    return errors.ConfigurationError(source, key, f"{shown}: {message}{suffix}")
--- a/boragegw/configuration/_published.py
+++ b/boragegw/configuration/_published.py
@@ -1,6 +1,4 @@
-"""Reads what is published, from a folder or from the platform, and writes what is
-to be published next.
-"""
+"""Reads the published configuration and writes the next revision."""
 
 import dataclasses
 import os
@@ -12,13 +10,15 @@
 from boragegw import errors
 from boragegw.configuration import _documents
 
-TIMEOUT = 5.0
+#: Timeout of each request to the platform.
+TIMEOUT_SECONDS = 5.0
 
 
 @dataclasses.dataclass(slots=True)
 class PublishedConfiguration:
-    """What is published now.
+    """The documents and the list of VMs that are published.
 
+    :param revision: revision of the head; 0 if there is no head.
     :param documents: raw documents by name, without the head.
     :param vms: raw list of VMs, or ``None`` if there is none.
     """
@@ -28,14 +28,14 @@
     vms: bytes | None = None
 
     def recalls(self):
-        """Return the recalls document in force."""
+        """Return the :class:`RecallsDocument`, empty if none is published."""
         raw = self.documents.get(_documents.RECALLS)
         if raw is None:
             return _documents.RecallsDocument()
         return _documents.parse_document(_documents.RECALLS, raw)
 
     def batches(self):
-        """Return the named batches by name."""
+        """Return each :class:`NamedBatch` by name."""
         raw = self.documents.get(_documents.BATCHES)
         if raw is None:
             return {}
@@ -44,10 +44,10 @@
 
 
 def read_published(place):
-    """Return the :class:`PublishedConfiguration` state.
+    """Return the :class:`PublishedConfiguration` from a folder or from the platform.
 
-    :param place: a folder, or ``http://HOST:PORT`` of the platform.
-    :raises ConfigurationError: if it cannot be read or is not whole.
+    :param place: path of a folder, or ``http://HOST:PORT`` of the platform.
+    :raises ConfigurationError: if it cannot be read, or is incomplete or invalid.
     """
     if place.startswith(("http://", "https://")):
         return _read_platform(place)
@@ -75,7 +75,9 @@
 
 def _read_platform(address):
     try:
-        with httpx.Client(base_url=address, timeout=TIMEOUT, trust_env=False) as client:
+        with httpx.Client(
+            base_url=address, timeout=TIMEOUT_SECONDS, trust_env=False
+        ) as client:
             head = _get(client, "/v1/configuration/head")
             parsed = _documents.parse_head(head)
             documents = {
@@ -90,18 +92,20 @@
 
 
 def _get(client, path):
-    answer = client.get(path)
-    answer.raise_for_status()
-    return answer.content
+    response = client.get(path)
+    response.raise_for_status()
+    return response.content
 
 
 def write_next_revision(folder, published, changed):
-    """Write the next revision's head and the changed documents into ``folder``.
+    """Write the next revision's documents and head into ``folder``.
 
-    Everything is made and checked before the first file is put in place, and the head
-    comes last, so that a failure leaves no half-written set behind.
+    The documents are validated before the first file is written, each file is replaced
+    atomically, and the head is written last. A failure therefore leaves no head that
+    refers to missing documents.
 
-    :param changed: raw documents by name.
+    :param published: the :class:`PublishedConfiguration` on which it is based.
+    :param changed: raw documents by name that are new or replace published ones.
     :returns: the new revision.
     """
     documents = {**published.documents, **changed}
@@ -112,15 +116,15 @@
     try:
         folder.mkdir(parents=True, exist_ok=True)
         for name, raw in [*sorted(documents.items()), (_documents.HEAD, raw_head)]:
-            _replace(folder / f"{name}.json", raw)
+            _write_atomically(folder / f"{name}.json", raw)
     except OSError as error:
         raise errors.ConfigurationError(folder, "folder", error.strerror) from error
     return head.revision
 
 
-def _replace(path, raw):
-    handle, temporary = tempfile.mkstemp(dir=path.parent, prefix=".")
-    with os.fdopen(handle, "wb") as file:
+def _write_atomically(path, raw):
+    descriptor, temporary = tempfile.mkstemp(dir=path.parent, prefix=".")
+    with os.fdopen(descriptor, "wb") as file:
         file.write(raw)
     os.chmod(temporary, 0o644)
     os.replace(temporary, path)
--- a/boragegw/configuration/_questionnaire.py
+++ b/boragegw/configuration/_questionnaire.py
@@ -1,4 +1,4 @@
-"""The questionnaire's answers, and what contradicts itself in them."""
+"""Models of the answers to the questionnaire, and checks for contradictions."""
 
 import typing
 
@@ -15,10 +15,13 @@
 
 
 class RequestAnswers(_Model):
-    """One kind of request.
+    """Answers about one kind of request.
 
-    :param repeatable: whether running it twice does no harm (idempotent).
-    :param if_late: harm of a late answer; likewise lost and doubled.
+    :param what: description of the requests.
+    :param repeatable: whether the requests are idempotent.
+    :param if_late: harm of a late response.
+    :param if_lost: harm of a lost request.
+    :param if_doubled: harm of a request that runs twice.
     """
 
     what: str = ""
@@ -31,13 +34,15 @@
 
 
 class ServiceAnswers(_Model):
-    """One service.
-
-    :param connections: connections that a backend server accepts in all.
-    :param cold_start_s: seconds from cold to warm.
-    :param cold_bears: requests at once that a cold backend server bears.
-    :param peak_per_s: requests a second at the peak.
-    :param largest_request_kb: largest request that must not be repeated.
+    """Answers about one service.
+
+    :param backend_servers: number of backend servers.
+    :param slots: requests that a backend server handles concurrently.
+    :param connections: total number of connections that a backend server accepts.
+    :param cold_start_s: seconds until a cold backend server is warm.
+    :param cold_bears: requests that a cold backend server can handle concurrently.
+    :param peak_per_s: requests per second at peak load.
+    :param largest_request_kb: size in KiB of the largest non-idempotent request.
     """
 
     name: _settings.Name
@@ -53,7 +58,7 @@
 
 
 class BatchAnswers(_Model):
-    """A batch of backend servers with a name to recall it by."""
+    """Answers about a named batch of backend servers that can be recalled together."""
 
     name: _settings.Name
     kind: typing.Literal["data-centre", "release", "label", "vms"]
@@ -61,7 +66,10 @@
 
 
 class Answers(_Model):
-    """All answers of a team."""
+    """All answers of one team.
+
+    :param entries: number of entry processes.
+    """
 
     team: str = pydantic.Field(min_length=1, max_length=200)
     data_centres: list[_settings.Name] = pydantic.Field(min_length=1)
@@ -71,19 +79,20 @@
 
 
 def check_answers(answers, source):
-    """Refuse answers that contradict each other.
+    """Reject answers that contradict each other.
 
-    :raises ConfigurationError: naming the question at fault.
+    :param source: name of the answers in the error message.
+    :raises ConfigurationError: with the first contradictory question.
     """
-    for question, complaint in _contradictions(answers):
-        raise errors.ConfigurationError(source, question, complaint)
+    for question, message in _contradictions(answers):
+        raise errors.ConfigurationError(source, question, message)
 
 
 def _contradictions(answers):
-    """Yield (question, complaint)."""
-    yield from _repeated("data_centres", answers.data_centres)
-    yield from _repeated("services.name", [s.name for s in answers.services])
-    yield from _repeated("batches.name", [b.name for b in answers.batches])
+    """Yield pairs of question and error message."""
+    yield from _duplicates("data_centres", answers.data_centres)
+    yield from _duplicates("services.name", [s.name for s in answers.services])
+    yield from _duplicates("batches.name", [b.name for b in answers.batches])
     for service in answers.services:
         yield from _service_contradictions(service, answers)
     for batch in answers.batches:
@@ -95,7 +104,7 @@
             )
 
 
-def _repeated(question, values):
+def _duplicates(question, values):
     for value in sorted({v for v in values if values.count(v) > 1}):
         yield question, f"{value!r} is given twice"
 
@@ -114,7 +123,7 @@
             f"{answers.entries} entries",
         )
     rules = [(r.method, r.path_prefix) for r in service.requests]
-    yield from _repeated(f"{where}.requests", rules)
+    yield from _duplicates(f"{where}.requests", rules)
     for number, request in enumerate(service.requests):
         question = f"{where}.requests.{number}"
         if request.repeatable and request.if_doubled == "high":
--- a/boragegw/configuration/_recalls.py
+++ b/boragegw/configuration/_recalls.py
@@ -1,16 +1,23 @@
-"""The next recalls document, and the capacity that a recall leaves."""
+"""Changes of the recalls document, and the capacity that remains after a recall."""
 
 import dataclasses
 
 from boragegw import blackboard, errors
 from boragegw.configuration import _documents, _jsonc
 
+#: Attributes of VMs by which a batch selects backend servers.
 KINDS = ("data-centre", "release", "label", "vms")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceCapacity:
-    """Backend servers and slots of one service that are not recalled or leaving."""
+    """Capacity of one service.
+
+    :param servers: number of all backend servers.
+    :param remaining_servers: number of those that are neither recalled nor leaving.
+    :param slots: total slots of all backend servers.
+    :param remaining_slots: total slots of the remaining backend servers.
+    """
 
     service: str
     servers: int
@@ -20,11 +27,11 @@
 
 
 def parse_batch(text, batches):
-    """Return the recall row for a batch on the command line.
+    """Return the :class:`RecalledBatch` for a command line argument.
 
-    :param text: a batch's name, or ``KIND:VALUE[,VALUE...]``.
-    :param batches: named batches by name.
-    :raises ConfigurationError: if it is neither.
+    :param text: name of a batch, or ``KIND:VALUE[,VALUE...]``.
+    :param batches: each :class:`NamedBatch` by name.
+    :raises ConfigurationError: if ``text`` is neither.
     """
     named = batches.get(text)
     if named is not None:
@@ -40,28 +47,28 @@
             f"{text!r}, expected a named batch ({known}) or KIND:VALUE[,VALUE...] "
             f"with a kind of {', '.join(KINDS)}",
         )
-    rows = [value.strip() for value in values.split(",")]
+    stripped = [value.strip() for value in values.split(",")]
     return _jsonc.validate_model(
-        _documents.RecalledBatch, {"kind": kind, "values": rows}, "command line"
+        _documents.RecalledBatch, {"kind": kind, "values": stripped}, "command line"
     )
 
 
-def _same_batch(one, other):
-    return one.kind == other.kind and set(one.values) == set(other.values)
+def _is_same_batch(first, second):
+    return first.kind == second.kind and set(first.values) == set(second.values)
 
 
-def add_recall(document, row):
-    """Return the recalls document with ``row``; one that is there stays once."""
-    kept = [known for known in document.recalls if not _same_batch(known, row)]
-    return _documents.RecallsDocument(recalls=[*kept, row])
+def add_recall(document, batch):
+    """Return the recalls document with ``batch``, which replaces an equal batch."""
+    kept = [known for known in document.recalls if not _is_same_batch(known, batch)]
+    return _documents.RecallsDocument(recalls=[*kept, batch])
 
 
-def remove_recall(document, row):
-    """Return the recalls document without ``row``.
+def remove_recall(document, batch):
+    """Return the recalls document without ``batch``.
 
     :raises ConfigurationError: if the batch is not recalled.
     """
-    kept = [known for known in document.recalls if not _same_batch(known, row)]
+    kept = [known for known in document.recalls if not _is_same_batch(known, batch)]
     if len(kept) == len(document.recalls):
         recalled = ", ".join(
             f"{known.kind}:{','.join(known.values)}" for known in document.recalls
@@ -69,20 +76,24 @@
         raise errors.ConfigurationError(
             "command line",
             "BATCH",
-            f"{row.kind}:{','.join(row.values)} is not recalled; recalled now: "
+            f"{batch.kind}:{','.join(batch.values)} is not recalled; recalled now: "
             f"{recalled or 'nothing'}",
         )
     return _documents.RecallsDocument(recalls=kept)
 
 
-def check_covers_backends(row, vms):
-    """Refuse a batch that covers no backend server: most likely a slip of the pen."""
-    recall = blackboard.Recall(row.kind, frozenset(row.values))
+def check_covers_backends(batch, vms):
+    """Reject a batch that covers no backend server, which is most likely a typo.
+
+    :raises ConfigurationError: if no backend server in ``vms`` is covered.
+    """
+    recall = blackboard.Recall(batch.kind, frozenset(batch.values))
     if not any(recall.covers(vm) for vm in _backends(vms)):
         raise errors.ConfigurationError(
             "command line",
             "BATCH",
-            f"{row.kind}:{','.join(row.values)} covers no backend server of the list",
+            f"{batch.kind}:{','.join(batch.values)} covers no backend server of the "
+            "list",
         )
 
 
@@ -91,20 +102,20 @@
 
 
 def remaining_capacity(vms, document):
-    """Yield the :class:`ServiceCapacity` of each service under a recalls document."""
+    """Yield the :class:`ServiceCapacity` of each service for a recalls document."""
     recalls = document.to_recalls()
     services = sorted({vm.service for vm in _backends(vms)})
     for service in services:
-        rows = [vm for vm in _backends(vms) if vm.service == service]
-        left = [
+        servers = [vm for vm in _backends(vms) if vm.service == service]
+        remaining = [
             vm
-            for vm in rows
+            for vm in servers
             if not vm.leaving and not any(recall.covers(vm) for recall in recalls)
         ]
         yield ServiceCapacity(
             service,
-            len(rows),
-            len(left),
-            sum(vm.slots for vm in rows),
-            sum(vm.slots for vm in left),
+            len(servers),
+            len(remaining),
+            sum(vm.slots for vm in servers),
+            sum(vm.slots for vm in remaining),
         )
--- a/boragegw/configuration/_settings.py
+++ b/boragegw/configuration/_settings.py
@@ -9,6 +9,7 @@
 from boragegw import errors
 from boragegw.configuration import _jsonc
 
+#: Smallest size of the shared key of the peers, in bytes.
 MIN_KEY_BYTES = 16
 
 
@@ -32,7 +33,7 @@
 
 
 class EntrySettings(_Model):
-    """Names and addresses of this entry VM; a port of 0 is chosen by the kernel."""
+    """Names and addresses of this entry VM; for port 0 the kernel chooses a port."""
 
     name: Name
     data_centre: Name
@@ -42,9 +43,10 @@
 
 
 class PlatformSettings(_Model):
-    """Where the platform publishes, and how often it may be read.
+    """Addresses of the platform and the rate limit for reads.
 
-    :param reads_per_second: budget of this process, a waiting watch as one read.
+    :param reads_per_second: read budget of this process; a watch counts as one read.
+    :param watch_timeout: seconds after which a watch returns without a change.
     """
 
     addresses: list[Address] = pydantic.Field(min_length=1)
@@ -53,10 +55,13 @@
 
 
 class PeerSettings(_Model):
-    """How entry processes talk among themselves.
+    """Communication between entry processes; times in seconds.
 
     :param key_file: file with the shared key, at least 16 bytes.
-    :param seeds: peer addresses asked at start, besides those the platform lists.
+    :param seeds: peer addresses to contact at start, in addition to those in the
+        platform's list.
+    :param heartbeat_interval: time between two heartbeats.
+    :param silence: time without heartbeats after which a peer counts as not alive.
     """
 
     key_file: str
@@ -66,10 +71,13 @@
 
 
 class LeaseSettings(_Model):
-    """Leases for idempotency keys and the records kept for them.
+    """Leases for idempotency keys, and the records of these keys.
 
-    :param duration: how long a caller may make keys from one lease.
-    :param retention: how long records outlive their lease.
+    :param duration: seconds for which a caller may create keys from one lease.
+    :param retention: seconds for which records are kept after their lease expires.
+    :param table_limit: largest number of records.
+    :param stored_answer_limit: largest response that is stored, in bytes.
+    :param stored_bytes_limit: total size of all stored responses, in bytes.
     """
 
     duration: Seconds = 600.0
@@ -80,7 +88,12 @@
 
 
 class LimitSettings(_Model):
-    """Limits of the caller-facing interface."""
+    """Limits of the interface for callers.
+
+    :param header_bytes: largest size of request headers.
+    :param requests: largest number of requests in flight.
+    :param shutdown_timeout: seconds after which a graceful shutdown ends.
+    """
 
     header_bytes: int = pydantic.Field(default=32_768, ge=1024, le=1 << 20)
     requests: int = pydantic.Field(default=5_000, ge=1)
@@ -88,9 +101,11 @@
 
 
 class ObservationSettings(_Model):
-    """Targets of logs, metrics and traces; an empty target is off.
+    """Logging, metrics and traces; an empty target disables the export.
 
-    :param trace_target: a file for JSON lines, or an ``http://`` OTLP address.
+    :param statsd: address of the statsd server.
+    :param trace_target: a file for JSON lines, or an ``http://`` address for OTLP.
+    :param trace_ratio: share of traces that are sampled if the caller made no decision.
     """
 
     log_level: str = pydantic.Field(
@@ -103,14 +118,14 @@
 
 
 class TlsSettings(_Model):
-    """Certificate and key files for the caller-facing port."""
+    """Certificate and private key files for the callers' port."""
 
     certificate: str
     private_key: str
 
 
 class Settings(_Model):
-    """One entry process."""
+    """Settings of one entry process."""
 
     entry: EntrySettings
     platform: PlatformSettings
@@ -121,7 +136,9 @@
     tls: TlsSettings | None = None
 
     def read_peer_key(self, source="settings"):
-        """Return the shared key of the peers.
+        """Return the key that all peers share.
+
+        :param source: name of the settings in error messages.
 
         :raises ConfigurationError: if the file cannot be read or is too short.
         """
@@ -143,11 +160,11 @@
 
 
 def load_settings(path):
-    """Return the validated :class:`Settings` in the file ``path``.
+    """Return the validated :class:`Settings` from the file ``path``.
 
-    Relative paths within are taken from the file's folder.
+    A relative path of the key file is resolved against the folder of the settings file.
 
-    :raises ConfigurationError: with one line that names the key at fault.
+    :raises ConfigurationError: with one line that names the invalid key.
     """
     settings = _jsonc.validate_model(Settings, _jsonc.load_jsonc(path), path)
     folder = pathlib.Path(path).parent
