--- a/boragegw/operations/__init__.py
+++ b/boragegw/operations/__init__.py
@@ -18,14 +18,14 @@
     explain_request,
     service_cells,
 )
-from boragegw.operations._stories import (
+from boragegw.operations._summary import RequestProblem, Summary, summarize
+from boragegw.operations._timeline import (
     CONTEXT_SECONDS,
     LogLine,
     MergedLogs,
     read_logs,
     request_timeline,
 )
-from boragegw.operations._summary import RequestProblem, Summary, summarize
 from boragegw.operations._traces import OpenTelemetryTracer, make_tracer
 
 __all__ = [
