--- a/boragegw/standins/_platform.py
+++ b/boragegw/standins/_platform.py
@@ -36,7 +36,7 @@
         """Publish ``documents`` (bytes by name) as the next revision."""
         self.documents = {**self.documents, **documents}
         self.revision += 1
-        head = configuration.head_for(self.revision, self.documents)
+        head = configuration.build_head(self.revision, self.documents)
         self.head = configuration.encode_document(head)
         self._wake()
 
@@ -115,7 +115,7 @@
     def __init__(self, state, address="127.0.0.1:0"):
         self.state = state
         self._socket = _listener.bind(address)
-        self.address = _listener.address_of(self._socket)
+        self.address = _listener.socket_address(self._socket)
         self._listener = _listener.Listener(self._build(), self._socket)
         self._task = None
 
@@ -164,7 +164,7 @@
     async def start(self):
         """Serve in the background."""
         loop = asyncio.get_running_loop()
-        self._task = loop.create_task(self._listener.run_until_told())
+        self._task = loop.create_task(self._listener.serve_until_stopped())
 
     async def stop(self):
         """Stop at once."""
