--- a/conftest.py
+++ b/conftest.py
@@ -1,59 +1,68 @@
-"""Tests that are known to fail, from the file ``KNOWN-RED.txt`` beside this one.
+"""Marks the tests in ``KNOWN-RED.txt`` as expected failures.
 
-Each is expected to fail, is named in the summary, and fails the run once it passes. A
-run of the whole suite also fails if it does not find one of them.
+``KNOWN-RED.txt`` is in the folder of this file. Each listed test is marked as a strict
+xfail and named in the summary. The run fails if such a test passes. A run of the whole
+suite also fails if it does not collect a listed test.
 """
 
 import pytest
 
-FILE = "KNOWN-RED.txt"
-#: Begins the line of an entry that holds the test's node id.
-FIELD = "test: "
+KNOWN_FAILURES_FILE = "KNOWN-RED.txt"
+#: Prefix of the line that holds a test's node id.
+NODE_ID_PREFIX = "test: "
 
-LISTED = pytest.StashKey[list]()
-MISSING = pytest.StashKey[list]()
+EXPECTED_FAILURES = pytest.StashKey[list]()
+UNCOLLECTED = pytest.StashKey[list]()
 
 
-def listed(text):
-    """Return the node ids in the text of the file."""
+def parse_node_ids(text):
+    """Return the node ids in the text of ``KNOWN-RED.txt``."""
     lines = text.splitlines()
-    return [line[len(FIELD) :].strip() for line in lines if line.startswith(FIELD)]
-
-
-def mark(items, known_red):
-    """Expect the listed ones among ``items`` to fail; return those not found."""
-    found = {item.nodeid: item for item in items}
-    for node in known_red:
-        if node in found:
-            found[node].add_marker(pytest.mark.xfail(strict=True, reason=FILE))
-    return [node for node in known_red if node not in found]
-
-
-def is_whole(config):
-    """Return whether the run was not told which tests to collect."""
+    return [
+        line[len(NODE_ID_PREFIX) :].strip()
+        for line in lines
+        if line.startswith(NODE_ID_PREFIX)
+    ]
+
+
+def mark_expected_failures(items, node_ids):
+    """Mark the listed tests as strict xfail; return the node ids not in ``items``."""
+    collected = {item.nodeid: item for item in items}
+    for node in node_ids:
+        if node in collected:
+            collected[node].add_marker(
+                pytest.mark.xfail(strict=True, reason=KNOWN_FAILURES_FILE)
+            )
+    return [node for node in node_ids if node not in collected]
+
+
+def is_full_run(config):
+    """Return whether the run collects the whole suite, not named files or tests."""
     return config.args_source is not pytest.Config.ArgsSource.ARGS
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config, items):
-    """Mark the listed tests before any are deselected."""
-    path = config.rootpath / FILE
-    known_red = listed(path.read_text()) if path.exists() else []
-    missing = mark(items, known_red)
-    config.stash[LISTED] = [node for node in known_red if node not in missing]
-    config.stash[MISSING] = missing if is_whole(config) else []
+    """Mark the listed tests before other hooks deselect tests."""
+    path = config.rootpath / KNOWN_FAILURES_FILE
+    known_failures = parse_node_ids(path.read_text()) if path.exists() else []
+    missing = mark_expected_failures(items, known_failures)
+    config.stash[EXPECTED_FAILURES] = [
+        node for node in known_failures if node not in missing
+    ]
+    config.stash[UNCOLLECTED] = missing if is_full_run(config) else []
 
 
 def pytest_sessionfinish(session):
-    """Fail a run of the whole suite that did not find a listed test."""
-    if session.config.stash.get(MISSING, []) and session.exitstatus == 0:
+    """Fail a run of the whole suite that did not collect a listed test."""
+    if session.config.stash.get(UNCOLLECTED, []) and session.exitstatus == 0:
         session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Name the listed tests."""
+    """Print the listed tests, and those that were not collected."""
     stash = terminalreporter.config.stash
-    for node in stash.get(LISTED, []):
+    for node in stash.get(EXPECTED_FAILURES, []):
         terminalreporter.line(f"known red: {node}")
-    for node in stash.get(MISSING, []):
+    for node in stash.get(UNCOLLECTED, []):
         terminalreporter.line(f"known red, but not found: {node}", red=True)
