--- a/examples/asking.py
+++ b/examples/asking.py
@@ -1,4 +1,4 @@
-"""Which of four backend servers a gateway process asks, and which one it takes."""
+"""Probing: which of four servers a gateway process probes, and which one it selects."""
 
 import random
 
--- a/examples/at_most_once.py
+++ b/examples/at_most_once.py
@@ -1,4 +1,8 @@
-"""A key at its home: it runs, a resend gets the stored answer, a late one too."""
+"""At-most-once execution: how an idempotency key's home entry handles resends.
+
+The first copy of a request runs, a copy sent meanwhile joins it, and a later copy gets
+the stored response. A new key of an expired lease is rejected.
+"""
 
 from boragegw import decisions
 
--- a/examples/placement.py
+++ b/examples/placement.py
@@ -1,4 +1,4 @@
-"""Which of three backend servers an entry in dc-a chooses, and why."""
+"""Server selection: which of three backend servers an entry in dc-a selects and why."""
 
 import random
 
