--- a/packaging/build.py
+++ b/packaging/build.py
@@ -1,7 +1,7 @@
 """Builds the one-file binary: ``make binary``.
 
-PyInstaller makes a folder; the folder is appended to a small launcher that unpacks it
-once into a memory file system and replaces its own process image. See
+PyInstaller builds a folder, which is appended to a small launcher. The launcher unpacks
+the folder once into a memory file system and replaces its own process image. See
 ``docs/decisions/binary.md``.
 """
 
@@ -14,8 +14,8 @@
 import PyInstaller.__main__
 
 ROOT = pathlib.Path(__file__).parents[1]
-BUILD = ROOT / "build"
-EXCLUDED = (
+BUILD_FOLDER = ROOT / "build"
+EXCLUDED_MODULES = (
     "numpy",
     "matplotlib",
     "PIL",
@@ -26,49 +26,49 @@
     "tkinter",
     "IPython",
 )
-OUTPUT = ROOT / "dist" / "boragegw"
+OUTPUT_FILE = ROOT / "dist" / "boragegw"
 
 
-def make_folder():
-    """Return the folder that PyInstaller makes."""
-    entry = BUILD / "launch.py"
-    entry.write_text(
+def build_program_folder():
+    """Run PyInstaller and return the folder that it builds."""
+    start_script = BUILD_FOLDER / "launch.py"
+    start_script.write_text(
         "import sys\nfrom boragegw import cli\nsys.exit(cli.main())\n", encoding="utf-8"
     )
     schema = ROOT / "boragegw" / "peers" / "messages.capnp"
     PyInstaller.__main__.run(
         [
-            str(entry),
+            str(start_script),
             "--onedir",
             "--noconfirm",
             f"--paths={ROOT}",
             "--name=boragegw",
-            f"--distpath={BUILD / 'folder'}",
-            f"--workpath={BUILD / 'work'}",
-            f"--specpath={BUILD}",
+            f"--distpath={BUILD_FOLDER / 'folder'}",
+            f"--workpath={BUILD_FOLDER / 'work'}",
+            f"--specpath={BUILD_FOLDER}",
             f"--add-data={schema}:boragegw/peers",
             "--collect-submodules=uvicorn",
             "--collect-all=capnp",
             "--collect-submodules=opentelemetry.exporter.otlp.proto.http",
-            *(f"--exclude-module={name}" for name in EXCLUDED),
+            *(f"--exclude-module={name}" for name in EXCLUDED_MODULES),
             "--copy-metadata=opentelemetry-sdk",
             "--copy-metadata=opentelemetry-api",
             "--log-level=WARN",
         ]
     )
-    return BUILD / "folder" / "boragegw"
+    return BUILD_FOLDER / "folder" / "boragegw"
 
 
-def make_launcher():
-    """Return the compiled launcher's bytes."""
-    output = BUILD / "launcher"
+def compile_launcher():
+    """Compile ``launcher.c`` and return the executable's bytes."""
+    output = BUILD_FOLDER / "launcher"
     source = pathlib.Path(__file__).with_name("launcher.c")
     subprocess.run(["cc", "-O2", "-Wall", "-o", output, source], check=True)
     return output.read_bytes()
 
 
-def records(folder):
-    """Yield the record of each file in ``folder``; links are followed."""
+def pack_records(folder):
+    """Yield a record for each file in ``folder``, following symbolic links."""
     for path in sorted(folder.rglob("*")):
         if not path.is_file():
             continue
@@ -79,16 +79,16 @@
 
 
 def main():
-    """Build the folder and the launcher, and join them."""
-    BUILD.mkdir(exist_ok=True)
-    launcher = make_launcher()
-    payload = b"".join(records(make_folder()))
-    build = hashlib.sha256(payload).hexdigest()[:16].encode()
-    trailer = struct.pack("<Q", len(launcher)) + build + b"BORAGEGW"
-    OUTPUT.parent.mkdir(exist_ok=True)
-    OUTPUT.write_bytes(launcher + payload + trailer)
-    OUTPUT.chmod(0o755)
-    print(f"{OUTPUT.relative_to(ROOT)}: {OUTPUT.stat().st_size / 1e6:.1f} MB")
+    """Build the launcher and the folder, and join them into the binary."""
+    BUILD_FOLDER.mkdir(exist_ok=True)
+    launcher = compile_launcher()
+    payload = b"".join(pack_records(build_program_folder()))
+    build_id = hashlib.sha256(payload).hexdigest()[:16].encode()
+    trailer = struct.pack("<Q", len(launcher)) + build_id + b"BORAGEGW"
+    OUTPUT_FILE.parent.mkdir(exist_ok=True)
+    OUTPUT_FILE.write_bytes(launcher + payload + trailer)
+    OUTPUT_FILE.chmod(0o755)
+    print(f"{OUTPUT_FILE.relative_to(ROOT)}: {OUTPUT_FILE.stat().st_size / 1e6:.1f} MB")
     return 0
 
 
