--- a/boragegw/cli/_explain.py
+++ b/boragegw/cli/_explain.py
@@ -1,4 +1,8 @@
-"""``boragegw explain``: from a request's id to its cause."""
+"""``boragegw explain``: explains requests and rollouts from an entry or from logs.
+
+It shows the attempts of one request, counts the requests that failed, were refused or
+were late, or shows when each version of the configuration came into force.
+"""
 
 import contextlib
 import dataclasses
@@ -12,17 +16,18 @@
 
 
 def add_parser(commands):
-    """Add the command."""
+    """Add the ``explain`` command to the subparsers."""
     parser = commands.add_parser(
         "explain",
-        help="why a request went where it went",
+        help="show why a request was sent where it was sent",
         description="Show a request's attempts and verdicts from an entry's bounded "
-        "memory (--entry), or its story from the logs of any number of processes "
-        "(--logs), in order although their clocks differ. An entry's answer has the id "
-        "in its boragegw-request-id header; on the users' platform it is the caller's. "
-        "With --summary, count what the logs tell of refused, failed and late requests "
-        "by reason, service and second. With --configurations, show when each version "
-        "of the configuration came into force and why some processes were late.",
+        "history (--entry), or its timeline from the logs of any number of processes "
+        "(--logs), corrected for the differences between their clocks. An entry's "
+        "response has the id in its boragegw-request-id header; on the users' platform "
+        "it is the caller's. With --summary, count the refused, failed and late "
+        "requests in the logs by reason, service and second. With --configurations, "
+        "show when each version of the configuration came into force and why some "
+        "processes were late.",
     )
     parser.add_argument("request_id", metavar="REQUEST-ID", nargs="?")
     source = parser.add_mutually_exclusive_group(required=True)
@@ -35,64 +40,70 @@
         type=float,
         default=operations.AROUND,
         metavar="SECONDS",
-        help="with --logs: how far around the request state is shown (%(default)s)",
+        help="with --logs: show state changes this close to the request (%(default)s)",
     )
     parser.add_argument(
-        "--summary", action="store_true", help="with --logs: count all troubles"
+        "--summary",
+        action="store_true",
+        help="with --logs: count refused, failed and late requests",
     )
     parser.add_argument(
         "--configurations",
         action="store_true",
-        help="with --logs: who got each configuration when",
+        help="with --logs: show when each process adopted each version",
     )
     parser.add_argument(
         "--latest",
         type=int,
         default=operations.LATEST,
         metavar="COUNT",
-        help="with --configurations: late processes of each version (%(default)s)",
+        help="with --configurations: latest processes shown per version (%(default)s)",
     )
     parser.add_argument("--json", action="store_true", help="print JSON")
     parser.set_defaults(run=run)
 
 
 def run(options):
-    """Run the command."""
+    """Explain a request, or the logs, as the options ask."""
     _check(options)
     if options.entry is not None:
-        return _operator.show(
-            options, f"/ops/explain/{options.request_id}", explain_lines
+        return _operator.print_document(
+            options, f"/ops/explain/{options.request_id}", request_lines
         )
     return _explain_logs(options)
 
 
 def _check(options):
-    asked = [
+    """Refuse combinations of options that argparse cannot refuse."""
+    modes = [
         f"--{name}" for name in ("summary", "configurations") if vars(options)[name]
     ]
     if options.latest < 0:
         raise errors.ConfigurationError(
             "--latest", "count", f"expected 0 or more, got {options.latest}"
         )
-    if asked and options.logs is None:
-        raise errors.ConfigurationError(asked[0], "logs", "expected --logs FILE...")
-    if len(asked) + (options.request_id is not None) != 1:
+    if modes and options.logs is None:
+        raise errors.ConfigurationError(modes[0], "logs", "expected --logs FILE...")
+    if len(modes) + (options.request_id is not None) != 1:
         raise errors.ConfigurationError(
             "explain",
             "request id",
-            f"expected just one of REQUEST-ID, --summary and --configurations, got "
-            f"{' '.join([*filter(None, [options.request_id]), *asked]) or 'none'}",
+            f"expected exactly one of REQUEST-ID, --summary and --configurations, got "
+            f"{' '.join([*filter(None, [options.request_id]), *modes]) or 'none'}",
         )
 
 
-def explain_lines(note):
-    """Yield the lines of a request's note."""
+def request_lines(note):
+    """Yield the lines of text for an entry's record of a request.
+
+    :param note: JSON document of the operator interface.
+    """
     kind = "idempotent" if note["idempotent"] else "non-idempotent"
     yield f"{note['method']} {note['path']} of {note['service']}, {kind}"
     yield f"ended: {note['outcome']}, verdict {note['verdict']}"
-    head = ("attempt", "backend server", "why", "ms", "outcome", "verdict")
-    yield from _tables.table(
-        head,
+    header = ("attempt", "backend server", "why", "ms", "outcome", "verdict")
+    yield from _tables.format_table(
+        header,
         [
             (
                 row["attempt_id"],
@@ -109,7 +120,7 @@
 
 def _explain_logs(options):
     with contextlib.ExitStack() as stack:
-        files = [stack.enter_context(_opened(path)) for path in options.logs]
+        files = [stack.enter_context(_open_log(path)) for path in options.logs]
         logs = operations.read_logs(itertools.chain.from_iterable(files))
     if logs.unreadable:
         print(f"{logs.unreadable} lines could not be read", file=sys.stderr)
@@ -117,20 +128,22 @@
         return _show_summary(operations.summarize(logs), options.json)
     if options.configurations:
         return _show_rollouts(operations.rollouts(logs), options)
-    story = operations.story_of(logs, options.request_id, options.around)
-    if not story:
+    timeline = operations.story_of(logs, options.request_id, options.around)
+    if not timeline:
         print(f"no line names {options.request_id}", file=sys.stderr)
         return 1
-    own = [line for line in story if line.fields.get("request") == options.request_id]
-    for line in story:
-        print(_shown(line, line.moment - own[0].moment, options.json))
+    own_lines = [
+        line for line in timeline if line.fields.get("request") == options.request_id
+    ]
+    for line in timeline:
+        print(_format_line(line, line.moment - own_lines[0].moment, options.json))
     return 0
 
 
 def _show_summary(summary, as_json):
     if as_json:
-        for trouble in summary.troubles:
-            print(json.dumps(dataclasses.asdict(trouble)))
+        for problem in summary.troubles:
+            print(json.dumps(dataclasses.asdict(problem)))
         return 0
     for line in _summary_lines(summary):
         print(line)
@@ -139,16 +152,16 @@
 
 def _summary_lines(summary):
     """Yield the lines of a summary's tables."""
-    yield from _tables.table(
+    yield from _tables.format_table(
         ("outcome", "reason", "count"), summary.count("outcome", "reason")
     )
     yield ""
-    yield from _tables.table(
+    yield from _tables.format_table(
         ("outcome", "service", "count"), summary.count("outcome", "service")
     )
     yield ""
-    head = ("from second", "refused", "failed", "late")
-    yield from _tables.table(head, summary.by_second())
+    header = ("from second", "refused", "failed", "late")
+    yield from _tables.format_table(header, summary.by_second())
     if summary.left_out:
         yield f"{summary.left_out} more that the processes did not write down"
 
@@ -170,10 +183,11 @@
 
 def _rollout_lines(rollouts, limit):
     """Yield the lines of the tables of versions and of the latest processes."""
-    head = ("version", "routes", "bytes", "first", "half s", "9 in 10 s", "all s")
-    more = ("adopted", "never", "bytes given up", "sources left")
-    yield from _tables.table(
-        (*head, *more), [_rollout_cells(rollout) for rollout in rollouts.versions]
+    header = ("version", "routes", "bytes", "first", "half s", "9 in 10 s", "all s")
+    extra_header = ("adopted", "never", "bytes given up", "sources left")
+    yield from _tables.format_table(
+        (*header, *extra_header),
+        [_rollout_cells(rollout) for rollout in rollouts.versions],
     )
     yield ""
     latest = [
@@ -184,12 +198,12 @@
     if not latest:
         yield f"no process came {operations.LATE:g} s or more after the first"
         return
-    head = ("version", "latest process", "after s", "bytes given up", "sources left")
-    yield from _tables.table(head, latest)
+    header = ("version", "latest process", "after s", "bytes given up", "sources left")
+    yield from _tables.format_table(header, latest)
 
 
 def _rollout_notes(rollouts):
-    """Yield what must be known to trust the tables."""
+    """Yield the corrections and omissions that limit the accuracy of the tables."""
     for process, _, seconds in rollouts.clock_errors:
         yield (
             f"{process}: each version {seconds:+.2f} s from the others, taken for an "
@@ -204,36 +218,37 @@
     delays = rollout.delays()
     return (
         rollout.version,
-        _known(rollout.routes),
-        _known(rollout.size),
+        _format_optional(rollout.routes),
+        _format_optional(rollout.size),
         first.isoformat(timespec="milliseconds").replace("+00:00", "Z"),
         *(f"{rollout.delay_of(share):.2f}" for share in operations.SHARES),
         len(delays),
         rollout.never(),
-        _known(rollout.dropped()),
-        _left(rollout.left()),
+        _format_optional(rollout.dropped()),
+        _format_sources(rollout.left()),
     )
 
 
 def _adopter_cells(adopter):
-    never = f"never in {adopter.waited:.2f}"
+    not_adopted = f"never in {adopter.waited:.2f}"
     return (
         adopter.process,
-        never if adopter.delay is None else f"{adopter.delay:.2f}",
-        _known(adopter.dropped),
-        _left(adopter.left.items()),
+        not_adopted if adopter.delay is None else f"{adopter.delay:.2f}",
+        _format_optional(adopter.dropped),
+        _format_sources(adopter.left.items()),
     )
 
 
-def _known(value):
+def _format_optional(value):
     return "?" if value is None else value
 
 
-def _left(rows):
+def _format_sources(rows):
+    """Return the counts of abandoned sources by reason as text."""
     return ", ".join(f"{count} {reason}" for reason, count in rows) or "0"
 
 
-def _opened(path):
+def _open_log(path):
     if path == "-":
         return contextlib.nullcontext(sys.stdin)
     try:
@@ -242,9 +257,15 @@
         raise errors.ConfigurationError(path, "file", str(error)) from error
 
 
-def _shown(line, after, as_json):
+def _format_line(line, after, as_json):
+    """Return a log line as text or JSON.
+
+    :param after: seconds since the first line of the request.
+    """
     if as_json:
         row = {"after": round(after, 4), "process": line.process, "event": line.event}
         return json.dumps({**row, **line.fields})
-    fields = " ".join(f"{name}={json.dumps(v)}" for name, v in line.fields.items())
+    fields = " ".join(
+        f"{name}={json.dumps(value)}" for name, value in line.fields.items()
+    )
     return f"{after:+9.4f}  {line.process}  {line.event}  {fields}"
--- a/boragegw/cli/_status.py
+++ b/boragegw/cli/_status.py
@@ -1,35 +1,45 @@
-"""``boragegw status``: what an entry knows."""
+"""``boragegw status``: prints the state of the fleet as one entry sees it."""
 
 from boragegw import operations
 from boragegw.cli import _operator, _tables
 
 
 def add_parser(commands):
-    """Add the command."""
+    """Add the ``status`` command to the subparsers."""
     parser = commands.add_parser(
         "status",
-        help="the fleet at a glance, from any entry",
-        description="Show entries with the configuration in force on each, services, "
-        "recalled batches, queues and budgets, as one entry knows them.",
+        help="show the state of the fleet as one entry sees it",
+        description="Show the entries with the configuration in force on each, the "
+        "services with their queues and budgets, and the recalled batches, as one "
+        "entry sees them.",
     )
     parser.add_argument("--entry", required=True, metavar="ADDRESS")
-    parser.add_argument("--json", action="store_true", help="print JSON")
+    parser.add_argument(
+        "--json", action="store_true", help="print the status document as JSON"
+    )
     parser.set_defaults(run=run)
 
 
 def status_lines(status):
-    """Yield the lines of a status document."""
+    """Yield the lines of text for a status document."""
     yield f"entry {status['entry']}, revision {status['revision']}"
     if status["rejected"]:
         yield f"REJECTED: {status['rejected']}"
     yield ""
-    head = ("entry", "data centre", "state", "revision", "confirmed s ago", "silent s")
+    header = (
+        "entry",
+        "data centre",
+        "state",
+        "revision",
+        "confirmed s ago",
+        "silent s",
+    )
     keys = ("name", "data_centre", "state", "revision", "confirmed_age", "silence")
-    yield from _tables.table(
-        head, [[row[k] for k in keys] for row in status["entries"]]
+    yield from _tables.format_table(
+        header, [[row[k] for k in keys] for row in status["entries"]]
     )
     yield ""
-    yield from _tables.table(
+    yield from _tables.format_table(
         (*operations.SERVICE_COLUMNS, "retries", "hedges", "probes"),
         [
             (
@@ -46,5 +56,5 @@
 
 
 def run(options):
-    """Run the command."""
-    return _operator.show(options, "/ops/status", status_lines)
+    """Fetch and print the status document."""
+    return _operator.print_document(options, "/ops/status", status_lines)
--- a/boragegw/cli/_tables.py
+++ b/boragegw/cli/_tables.py
@@ -1,10 +1,10 @@
-"""Tables on a terminal."""
+"""Text tables for terminal output."""
 
 
-def table(head, rows):
-    """Yield the lines of a table."""
-    cells = [[str(value) for value in row] for row in [head, *rows]]
-    widths = [max(len(row[i]) for row in cells) for i in range(len(head))]
+def format_table(header, rows):
+    """Yield the lines of a table with left-aligned columns."""
+    cells = [[str(value) for value in row] for row in [header, *rows]]
+    widths = [max(len(row[i]) for row in cells) for i in range(len(header))]
     for row in cells:
         padded = (value.ljust(width) for value, width in zip(row, widths, strict=True))
         yield "  ".join(padded).rstrip()
