--- a/boragegw/cli/_check.py
+++ b/boragegw/cli/_check.py
@@ -1,4 +1,4 @@
-"""``boragegw check``: validates settings and documents."""
+"""``boragegw check``: validates settings files and configuration documents."""
 
 import json
 import pathlib
@@ -8,28 +8,28 @@
 
 
 def add_parser(commands):
-    """Add the command."""
+    """Add the ``check`` command to the subparsers."""
     parser = commands.add_parser(
         "check",
         help="validate settings or configuration documents",
         description="Validate settings files, configuration documents, or folders of "
-        "documents. The first fault is named in one line, with exit code 2.",
+        "documents. The first error is printed in one line, with exit code 2.",
     )
     parser.add_argument("paths", nargs="+", metavar="PATH")
     parser.set_defaults(run=run)
 
 
 def run(options):
-    """Run the command."""
+    """Validate each path and print its kind."""
     for path in options.paths:
         print(f"{path}: {check(pathlib.Path(path))}")
     return 0
 
 
 def check(path):
-    """Return what the file or folder is, if valid.
+    """Validate a file or folder and return a description of its kind.
 
-    :raises ConfigurationError: for the first fault.
+    :raises ConfigurationError: for the first error.
     """
     if path.is_dir():
         return check_folder(path)
@@ -54,7 +54,7 @@
 
 
 def check_folder(path):
-    """Validate a folder with ``head.json`` and its documents, whole."""
+    """Validate ``head.json`` and all documents of a folder as one set."""
     documents = {
         file.name.removesuffix(".json"): file.read_bytes()
         for file in sorted(path.glob("*.json"))
--- a/boragegw/cli/_configure.py
+++ b/boragegw/cli/_configure.py
@@ -1,4 +1,4 @@
-"""``boragegw configure``: documents from the questionnaire's answers."""
+"""``boragegw configure``: generates documents from the questionnaire's answers."""
 
 import difflib
 import json
@@ -8,39 +8,43 @@
 
 
 def add_parser(commands):
-    """Add the command."""
+    """Add the ``configure`` command to the subparsers."""
     parser = commands.add_parser(
         "configure",
-        help="make the configuration documents from a questionnaire",
-        description="Make the configuration documents from a questionnaire's answers. "
+        help="generate configuration documents from a questionnaire",
+        description="Generate configuration documents from a questionnaire's answers. "
         "The same answers give the same bytes. Recalls in force are kept. Nothing is "
-        "published: give the folder to the platform's own tool.",
+        "published: publish the folder with the platform's own tool.",
     )
-    parser.add_argument("answers", metavar="ANSWERS", help="file in JSON with comments")
-    parser.add_argument("--output", metavar="DIR", help="folder for the documents")
+    parser.add_argument(
+        "answers", metavar="ANSWERS", help="answers in JSON with comments"
+    )
+    parser.add_argument("--output", metavar="DIR", help="output folder")
     parser.add_argument(
         "--published",
         metavar="PLACE",
-        help="folder or http://HOST:PORT with what is published now",
+        help="folder or http://HOST:PORT of the published configuration",
     )
     parser.add_argument(
         "--interactive",
         action="store_true",
-        help="ask the questions first and write the answers file",
+        help="ask the questions on the terminal and write the answers file first",
     )
     parser.add_argument(
-        "--explain", action="store_true", help="show each value and its cause"
+        "--explain", action="store_true", help="print each value and its reason"
     )
     parser.add_argument(
-        "--diff", action="store_true", help="show what would change, write nothing"
+        "--diff",
+        action="store_true",
+        help="print a diff against the published documents and write nothing",
     )
     parser.set_defaults(run=run)
 
 
 def run(options):
-    """Run the command."""
+    """Generate the documents, then explain, compare or write them."""
     if options.interactive:
-        _interview.interview(options.answers)
+        _interview.ask_questions(options.answers)
     data = configuration.load_jsonc(options.answers)
     answers = configuration.validate_model(configuration.Answers, data, options.answers)
     configuration.check_answers(answers, options.answers)
@@ -50,26 +54,26 @@
     if options.published:
         published = configuration.read_published(options.published)
     if options.explain:
-        print("\n".join(explanations(values)))
+        print("\n".join(explanation_lines(values)))
     if options.diff:
-        print("\n".join(differences(published, documents)))
+        print("\n".join(diff_lines(published, documents)))
         return 0
     if options.output:
-        _write(options.output, published, documents)
+        _write_revision(options.output, published, documents)
     return 0
 
 
-def explanations(values):
-    """Yield a line for each generated value."""
+def explanation_lines(values):
+    """Yield the text for each generated value: the value and its reason."""
     for value in values:
-        shown = json.dumps(value.value)
-        yield f"{value.document}: {value.key} = {shown}\n    because of {value.because}"
+        text = json.dumps(value.value)
+        yield f"{value.document}: {value.key} = {text}\n    because of {value.because}"
 
 
-def differences(published, documents):
-    """Yield the lines of a unified diff against what is published."""
-    gone = set(published.documents) - set(documents) - {"recalls"}
-    for name in sorted(set(documents) | gone):
+def diff_lines(published, documents):
+    """Yield the lines of a unified diff against the published documents."""
+    removed = set(published.documents) - set(documents) - {"recalls"}
+    for name in sorted(set(documents) | removed):
         before = published.documents.get(name, b"").decode().splitlines()
         after = documents.get(name, b"").decode().splitlines()
         yield from difflib.unified_diff(
@@ -77,8 +81,8 @@
         )
 
 
-def _write(folder, published, documents):
-    """Write the next revision; recalls in force are carried over as they are."""
+def _write_revision(folder, published, documents):
+    """Write the next revision, with the recalls document in force unchanged."""
     recalls = published.documents.get("recalls")
     if recalls is None:
         recalls = configuration.encode_document(configuration.RecallsDocument())
@@ -86,6 +90,6 @@
     if next_documents == published.documents:
         print(f"nothing has changed since revision {published.revision}")
         return
-    base = configuration.Published(published.revision)
-    revision = configuration.write_next(folder, base, next_documents)
+    base_revision = configuration.Published(published.revision)
+    revision = configuration.write_next(folder, base_revision, next_documents)
     print(f"revision {revision} with {len(next_documents)} documents in {folder}")
--- a/boragegw/cli/_interview.py
+++ b/boragegw/cli/_interview.py
@@ -1,4 +1,8 @@
-"""The questionnaire at the terminal, one question at a time."""
+"""The interactive questionnaire of ``boragegw configure``.
+
+Answers are collected in a flat form: a dictionary from a question's key to its answer.
+The keys of a service's questions begin with the service's name and a dot.
+"""
 
 import dataclasses
 import json
@@ -7,52 +11,53 @@
 
 from boragegw import configuration, errors
 
-BACK = "back"
-HARMS = ("low", "medium", "high")
+BACK_COMMAND = "back"
+HARM_LEVELS = ("low", "medium", "high")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Question:
-    """One question.
+    """One question of the questionnaire.
 
-    :param key: where the answer goes, in the flat form.
-    :param why: why it is asked.
-    :param parse: function from the text to the answer; raises ``ValueError``.
+    :param key: key of the answer in the flat form.
+    :param purpose: what the answer is used for, shown with the question.
+    :param parse: function from the typed text to the answer; raises ``ValueError`` if
+        the text is not valid.
     """
 
     key: str
     text: str
-    why: str
+    purpose: str
     parse: abc.Callable
     default: object = None
 
 
-def _words(text):
+def _parse_names(text):
     values = [part.strip() for part in text.split(",") if part.strip()]
     if not values:
         raise ValueError("expected one or more names, with commas between")
     return values
 
 
-def _text(text):
+def _parse_text(text):
     if not text:
         raise ValueError("expected some text")
     return text
 
 
-def _yes_no(text):
+def _parse_yes_no(text):
     if text.lower() not in ("yes", "no", "y", "n"):
         raise ValueError("expected yes or no")
     return text.lower().startswith("y")
 
 
-def _harm(text):
-    if text not in HARMS:
-        raise ValueError(f"expected one of {', '.join(HARMS)}")
+def _parse_harm(text):
+    if text not in HARM_LEVELS:
+        raise ValueError(f"expected one of {', '.join(HARM_LEVELS)}")
     return text
 
 
-def _method_path(text):
+def _parse_method_and_path(text):
     method, _, path = text.partition(" ")
     if not path.startswith("/") or not method.isupper():
         raise ValueError("expected METHOD /path, such as POST /returns")
@@ -60,13 +65,16 @@
 
 
 def questions(flat):
-    """Yield the questions; which ones come depends on the answers so far."""
-    yield Question("team", "Who are you?", "Names the configuration.", _text)
+    """Yield the questions that follow from the answers so far.
+
+    :param flat: answers so far, in the flat form.
+    """
+    yield Question("team", "Who are you?", "Names the configuration.", _parse_text)
     yield Question(
         "data_centres",
         "Which data centres are you in?",
         "Each service gets an entry in each, and each can be recalled.",
-        _words,
+        _parse_names,
     )
     yield Question(
         "entries",
@@ -76,7 +84,7 @@
         15,
     )
     yield Question(
-        "services", "Which services do you run?", "Each gets a document.", _words
+        "services", "Which services do you run?", "Each gets a document.", _parse_names
     )
     for service in flat.get("services", ()):
         yield from _service_questions(service)
@@ -85,20 +93,40 @@
 def _service_questions(service):
     rows = (
         ("backend_servers", "How many backend servers?", "Shows capacity.", int, 10),
-        ("slots", "Requests at once on each?", "Limits work in flight.", int, 6),
+        ("slots", "Concurrent requests on each?", "Limits requests in flight.", int, 6),
         ("connections", "Connections on each?", "Shared by the entries.", int, 260),
-        ("deadline_s", "Seconds until an answer is late?", "Deadline.", float, 10.0),
-        ("peak_per_s", "Requests a second at the peak?", "Sizes queues.", float, 100.0),
-        ("cold_start_s", "Seconds from cold to warm?", "Slows the ramp.", float, 20.0),
-        ("cold_bears", "Requests at once when cold?", "Limits a cold one.", int, 1),
+        (
+            "deadline_s",
+            "Seconds until an answer is late?",
+            "Sets the deadline.",
+            float,
+            10.0,
+        ),
+        ("peak_per_s", "Peak requests per second?", "Sizes queues.", float, 100.0),
+        (
+            "cold_start_s",
+            "Seconds from cold to warm?",
+            "Sets the length of slow start.",
+            float,
+            20.0,
+        ),
+        (
+            "cold_bears",
+            "Concurrent requests when cold?",
+            "Limits a cold server.",
+            int,
+            1,
+        ),
     )
-    for key, text, why, parse, default in rows:
-        yield Question(f"{service}.{key}", f"{service}: {text}", why, parse, default)
+    for key, text, purpose, parse, default in rows:
+        yield Question(
+            f"{service}.{key}", f"{service}: {text}", purpose, parse, default
+        )
     yield Question(
         f"{service}.once",
         f"{service}: which request must not run twice? (METHOD /path, or GET /)",
-        "It needs a key and is never sent again unless it is proved not to have run.",
-        _method_path,
+        "It needs a key and is only retried if it is known not to have run.",
+        _parse_method_and_path,
         ["GET", "/"],
     )
     for harm, text in (
@@ -109,24 +137,24 @@
         yield Question(
             f"{service}.{harm}",
             f"{service}: how bad is {text}? (low, medium, high)",
-            "When there is no room, the least harm is refused first.",
-            _harm,
+            "Under overload, requests with the least harm are refused first.",
+            _parse_harm,
             "medium",
         )
 
 
-def answers_of(flat):
-    """Return the answers in the questionnaire's form."""
+def unflatten(flat):
+    """Return the content of an answers file for answers in the flat form."""
     return {
         "team": flat["team"],
         "data_centres": flat["data_centres"],
         "entries": flat["entries"],
-        "services": [_service_of(flat, name) for name in flat["services"]],
+        "services": [_unflatten_service(flat, name) for name in flat["services"]],
         "batches": flat.get("batches", []),
     }
 
 
-def _service_of(flat, name):
+def _unflatten_service(flat, name):
     def get(key):
         return flat[f"{name}.{key}"]
 
@@ -149,7 +177,7 @@
 
 
 def flatten(data):
-    """Return the flat form of earlier answers, as defaults."""
+    """Return the flat form of an answers file's content."""
     flat = {k: data[k] for k in ("team", "data_centres", "entries") if k in data}
     flat["batches"] = data.get("batches", [])
     flat["services"] = [service["name"] for service in data.get("services", ())]
@@ -169,40 +197,45 @@
     return flat
 
 
-def _shown(value):
+def _format_answer(value):
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, list):
-        between = " " if len(value) == 2 and value[1].startswith("/") else ","
-        return between.join(value)
+        separator = " " if len(value) == 2 and value[1].startswith("/") else ","
+        return separator.join(value)
     return str(value)
 
 
 def _prompt(question, flat):
+    """Return the prompt and the default of a question."""
     default = flat.get(question.key, question.default)
-    hint = "" if default in (None, []) else f" [{_shown(default)}]"
-    return f"{question.text}\n  ({question.why}){hint}\n> ", default
+    hint = "" if default in (None, []) else f" [{_format_answer(default)}]"
+    return f"{question.text}\n  ({question.purpose}){hint}\n> ", default
 
 
-def interview(path, read=input, write=print):
+def ask_questions(path, read=input, write=print):
     """Ask all questions and write the answers file.
 
-    An empty answer takes the default, ``back`` goes to the question before.
+    An empty answer takes the default; ``back`` returns to the previous question. The
+    answers of an existing file are the defaults.
 
-    :param read: reads a line after a prompt.
-    :raises ConfigurationError: if an existing answers file cannot be used.
+    :param path: of the answers file.
+    :param read: function that shows a prompt and returns the typed line.
+    :param write: function that shows a line of text.
+    :raises ConfigurationError: if an existing answers file is not valid, or the file
+        cannot be written.
     """
     flat = {}
     if pathlib.Path(path).exists():
         flat = flatten(configuration.load_jsonc(path))
-    write(f"An empty answer keeps the value in brackets; {BACK!r} goes back.")
+    write(f"An empty answer keeps the value in brackets; {BACK_COMMAND!r} goes back.")
     index = 0
     while True:
-        asked = list(questions(flat))
-        if index >= len(asked):
+        current_questions = list(questions(flat))
+        if index >= len(current_questions):
             break
-        index = _ask(asked[index], index, flat, read, write)
-    raw = json.dumps(answers_of(flat), indent=2) + "\n"
+        index = _ask(current_questions[index], index, flat, read, write)
+    raw = json.dumps(unflatten(flat), indent=2) + "\n"
     try:
         pathlib.Path(path).write_text(raw, encoding="utf-8")
     except OSError as error:
@@ -213,7 +246,7 @@
     """Ask one question and return the index of the next."""
     prompt, default = _prompt(question, flat)
     text = read(prompt).strip()
-    if text == BACK:
+    if text == BACK_COMMAND:
         return max(0, index - 1)
     if not text and default not in (None, []):
         flat[question.key] = default
--- a/boragegw/cli/tests/test_bad_input.py
+++ b/boragegw/cli/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad answers, files and settings: one line each, exit code 2, nothing written."""
+"""Invalid answers, files and settings: a one-line error, exit code 2, no output."""
 
 import json
 
@@ -9,6 +9,7 @@
 
 
 def _set(data, path, value):
+    """Set the value at ``path``; the value ``KeyError`` deletes the key."""
     *parents, last = path
     target = data
     for part in parents:
@@ -20,6 +21,7 @@
     return data
 
 
+#: Case -> (path into the answers, invalid value, key that the error names).
 BAD_ANSWERS = {
     "unknown key": (("nonsense",), 1, "nonsense"),
     "missing team": (("team",), KeyError, "team"),
@@ -98,6 +100,7 @@
     assert not output.exists()
 
 
+#: Case -> (command, content, text in the error).
 BAD_FILES = {
     "no such file": ("check", None, "No such file"),
     "no JSON": ("check", "{", "syntax"),
@@ -141,7 +144,7 @@
 
 @pytest.mark.parametrize("case", sorted(BAD_FILES))
 def test_bad_files_give_one_line(case, tmp_path, capsys):
-    command, content, words = BAD_FILES[case]
+    command, content, message = BAD_FILES[case]
     path = tmp_path / "file.json"
     if isinstance(content, bytes):
         path.write_bytes(content)
@@ -150,7 +153,7 @@
     assert cli.main([command, str(path)]) == 2
     error = capsys.readouterr().err
     assert error.count("\n") == 1
-    assert words in error
+    assert message in error
 
 
 SETTINGS = {
@@ -164,6 +167,7 @@
     "platform": {"addresses": ["127.0.0.1:1"]},
     "peers": {"key_file": "key"},
 }
+#: Case -> (path into the settings, invalid value).
 BAD_SETTINGS = {
     "name for an address": (("entry", "caller_address"), "localhost:80"),
     "no port": (("entry", "peer_address"), "127.0.0.1"),
@@ -180,7 +184,7 @@
 
 
 @pytest.mark.parametrize("case", sorted(BAD_SETTINGS))
-def test_bad_settings_name_key_value_and_expectation(case, tmp_path, capsys):
+def test_bad_settings_give_one_line_that_names_the_section(case, tmp_path, capsys):
     (tmp_path / "key").write_bytes(b"k" * 32)
     (tmp_path / "short").write_bytes(b"k")
     path, value = BAD_SETTINGS[case]
--- a/boragegw/cli/tests/test_commands.py
+++ b/boragegw/cli/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line as operators use it: good input, bad input."""
+"""The command-line interface with valid and invalid input."""
 
 import ast
 import json
@@ -12,11 +12,11 @@
 from boragegw.cli import _interview
 
 EXAMPLES = pathlib.Path(__file__).parents[3] / "examples"
-USERS = ("liffeyside", "habimana")
+EXAMPLE_NAMES = ("liffeyside", "habimana")
 
 
-def answers_of(user="habimana"):
-    return configuration.load_jsonc(EXAMPLES / user / "answers.jsonc")
+def answers_of(example="habimana"):
+    return configuration.load_jsonc(EXAMPLES / example / "answers.jsonc")
 
 
 def write_json(path, data):
@@ -24,24 +24,26 @@
     return str(path)
 
 
-@pytest.mark.parametrize("user", USERS)
-def test_example_documents_are_what_the_answers_give(user, tmp_path):
-    arguments = ["configure", str(EXAMPLES / user / "answers.jsonc")]
+@pytest.mark.parametrize("example", EXAMPLE_NAMES)
+def test_example_documents_match_their_answers(example, tmp_path):
+    arguments = ["configure", str(EXAMPLES / example / "answers.jsonc")]
     assert cli.main([*arguments, "--output", str(tmp_path)]) == 0
-    made = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
-    kept = {
+    generated = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
+    expected = {
         path.name: path.read_bytes()
-        for path in (EXAMPLES / user / "documents").iterdir()
+        for path in (EXAMPLES / example / "documents").iterdir()
     }
-    assert made == kept
+    assert generated == expected
 
 
-@pytest.mark.parametrize("user", USERS)
-def test_every_value_is_explained_by_an_answer(user, capsys):
-    path = str(EXAMPLES / user / "answers.jsonc")
+@pytest.mark.parametrize("example", EXAMPLE_NAMES)
+def test_every_generated_value_has_an_explanation(example, capsys):
+    path = str(EXAMPLES / example / "answers.jsonc")
     assert cli.main(["configure", path, "--explain"]) == 0
     shown = capsys.readouterr().out
-    answers = configuration.validate_model(configuration.Answers, answers_of(user), "a")
+    answers = configuration.validate_model(
+        configuration.Answers, answers_of(example), "a"
+    )
     values = list(configuration.generate(answers))
     assert shown.count("because of answer") + shown.count("because of one") == len(
         values
@@ -50,7 +52,7 @@
 
 @pytest.fixture
 def published(tmp_path):
-    """A folder with one service of two data centres published."""
+    """A published folder with one service that runs in two data centres."""
     folder = tmp_path / "published"
     document = configuration.ServiceDocument(name="claims")
     batches = {"batches": [{"name": "west", "kind": "data-centre", "values": ["dc-a"]}]}
@@ -93,9 +95,11 @@
     assert (state.revision, state.recalls().recalls) == (3, [])
 
 
-def test_answering_again_keeps_a_recall(published, tmp_path, capsys):
-    """An operator answers the questionnaire at night and a recalled, faulty batch
-    gets work again, because the new documents did not know of the recall.
+def test_configure_keeps_a_recall_in_force(published, tmp_path, capsys):
+    """Guards against ``configure`` dropping the recalls in force.
+
+    A recalled, faulty batch would receive requests again, because the newly generated
+    documents do not contain the recall.
     """
     assert recall(published, "west") == 0
     answers = write_json(tmp_path / "a.jsonc", answers_of())
@@ -118,10 +122,10 @@
 
 @pytest.mark.parametrize("case", sorted(BAD_BATCHES))
 def test_bad_batches_are_refused_and_nothing_written(case, published, capsys):
-    batch, words = BAD_BATCHES[case]
+    batch, message = BAD_BATCHES[case]
     assert recall(published, batch) == 2
     error = capsys.readouterr().err
-    assert words in error
+    assert message in error
     assert error.count("\n") == 1
     assert configuration.read_published(published).revision == 1
 
@@ -130,7 +134,7 @@
     assert recall(published, "release:r1", "--force") == 0
 
 
-def test_returning_what_is_not_recalled_is_refused(published, capsys):
+def test_returning_a_batch_that_is_not_recalled_is_refused(published, capsys):
     assert recall(published, "west", command="return") == 2
     assert "is not recalled" in capsys.readouterr().err
 
@@ -148,9 +152,9 @@
     assert capsys.readouterr().err.count("\n") == 1
 
 
-def test_interview_goes_back_corrects_and_keeps_old_answers(tmp_path):
+def test_questionnaire_goes_back_corrects_and_keeps_old_answers(tmp_path):
     path = tmp_path / "answers.jsonc"
-    typed = iter(
+    inputs = iter(
         [
             "Team",
             "dc-a, dc-b",
@@ -168,7 +172,7 @@
         ]
     )
     shown = []
-    _interview.interview(path, lambda prompt: next(typed), shown.append)
+    _interview.ask_questions(path, lambda prompt: next(inputs), shown.append)
     assert any("'many'" in line for line in shown)
     data = configuration.load_jsonc(path)
     answers = configuration.validate_model(configuration.Answers, data, path)
@@ -176,10 +180,11 @@
     assert answers.data_centres == ["dc-a", "dc-b", "dc-c"]
     assert answers.services[0].requests[0].repeatable is False
     before = path.read_bytes()
-    _interview.interview(path, lambda prompt: "", shown.append)
+    _interview.ask_questions(path, lambda prompt: "", shown.append)
     assert path.read_bytes() == before
 
 
+#: From the lowest layer to the highest.
 LAYERS = (
     "utils",
     "errors",
@@ -203,7 +208,7 @@
 
 
 def imported_layers(path):
-    """Yield the subpackages that a module imports."""
+    """Yield the names of the subpackages that a module imports."""
     for node in ast.walk(ast.parse(path.read_text())):
         if not isinstance(node, ast.ImportFrom) or not node.module:
             continue
@@ -213,16 +218,19 @@
             yield from (name for name in names if name in LAYERS)
 
 
-def test_imports_run_one_way():
-    """A decision that imports a transport cannot be tested or measured by itself."""
+def test_packages_import_only_lower_layers():
+    """Guards against a package importing a higher layer.
+
+    A decision that imports a transport cannot be tested or benchmarked in isolation.
+    """
     root = pathlib.Path(cli.__file__).parents[1]
     for path in sorted(root.glob("*/_*.py")):
-        own = LAYERS.index(path.parent.name)
+        own_index = LAYERS.index(path.parent.name)
         for name in imported_layers(path):
-            assert LAYERS.index(name) <= own, f"{path} imports {name}"
+            assert LAYERS.index(name) <= own_index, f"{path} imports {name}"
 
 
-def test_module_runs_as_a_program():
+def test_package_runs_with_python_m():
     finished = subprocess.run(
         [sys.executable, "-m", "boragegw", "check", str(EXAMPLES / "entry-1.jsonc")],
         capture_output=True,
