--- a/boragegw/cli/tests/test_demo.py
+++ b/boragegw/cli/tests/test_demo.py
@@ -5,38 +5,39 @@
 from boragegw.cli import _demo
 
 
-def _run(folder, sabotage=None):
-    return asyncio.run(_demo.demonstrate(folder, 3.0, sabotage))
+def _run(folder, inject_fault=None):
+    return asyncio.run(_demo.run_demo(folder, 3.0, inject_fault))
 
 
-def test_demo_keeps_its_promises(tmp_path):
+def test_demo_reports_no_violation(tmp_path):
     result = _run(tmp_path)
-    assert result.broken == []
+    assert result.violations == []
     rows = dict(result.rows)
     assert rows["requests answered"] > 0
     assert rows["non-idempotent requests run twice"] == 0
 
 
-def test_demo_names_a_broken_promise(tmp_path):
-    """A filer would be charged twice and the demo must not print that all is well.
+def test_demo_reports_a_violated_guarantee(tmp_path):
+    """Guards against a demo that reports success after a request ran twice.
 
-    A backend server logs each run twice; the demo counts runs by key, so the
-    promise of at most one run is reported as broken.
+    Each backend server logs every run twice. The demo counts runs by idempotency key,
+    so it must report that the guarantee of at most one run was violated. A doubled run
+    would charge a caller twice.
     """
 
-    class Doubled(list):
+    class DuplicatingList(list):
         def append(self, item):
             super().append(item)
             super().append(item)
 
-    def sabotage(fleet):
-        doubled = Doubled()
-        fleet.runs = doubled
+    def inject_fault(fleet):
+        runs = DuplicatingList()
+        fleet.runs = runs
         for backend in fleet.backends.values():
-            backend.log = doubled
+            backend.log = runs
 
-    result = _run(tmp_path, sabotage)
-    assert any("ran twice" in promise for promise in result.broken)
+    result = _run(tmp_path, inject_fault)
+    assert any("ran twice" in violation for violation in result.violations)
 
 
 @pytest.mark.parametrize("argument", ["--help", "--version"])
