--- a/boragegw/__main__.py
+++ b/boragegw/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line with ``python -m boragegw``."""
+"""Runs the command-line interface with ``python -m boragegw``."""
 
 import sys
 
--- a/boragegw/cli/__init__.py
+++ b/boragegw/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one module for each command."""
+"""The command-line interface, with one module for each command."""
 
 from boragegw.cli._main import main
 
--- a/boragegw/cli/_main.py
+++ b/boragegw/cli/_main.py
@@ -1,6 +1,6 @@
-"""Parses the command line and runs a command.
+"""Parses the command line and runs the command.
 
-Exit codes: 0 success, 1 the command's own failure, 2 bad input.
+Exit codes: 0 on success, 1 if the command failed, 2 for bad input, 130 on Ctrl-C.
 """
 
 import argparse
@@ -20,7 +20,7 @@
 )
 
 EXIT_BAD_INPUT = 2
-COMMANDS = (
+COMMAND_MODULES = (
     _configure,
     _check,
     _serve,
@@ -33,7 +33,7 @@
 
 
 def make_parser():
-    """Return the parser with all commands."""
+    """Return the argument parser with all commands."""
     parser = argparse.ArgumentParser(
         prog="boragegw",
         description="Load balancer for servers whose load shifts in milliseconds.",
@@ -42,7 +42,7 @@
         "--version", action="version", version=f"boragegw {boragegw.__version__}"
     )
     commands = parser.add_subparsers(dest="command", metavar="COMMAND", required=True)
-    for module in COMMANDS:
+    for module in COMMAND_MODULES:
         module.add_parser(commands)
     return parser
 
--- a/boragegw/cli/_platform.py
+++ b/boragegw/cli/_platform.py
@@ -1,4 +1,4 @@
-"""``boragegw platform``: the stand-in platform, to try things without a real one."""
+"""``boragegw platform``: runs a stand-in of the platform for trials."""
 
 import asyncio
 import json
@@ -6,17 +6,17 @@
 
 from boragegw import configuration, errors, standins
 
-POLL = 0.2
+POLL_SECONDS = 0.2
 
 
 def add_parser(commands):
-    """Add the command."""
+    """Add the ``platform`` command to the subparsers."""
     parser = commands.add_parser(
         "platform",
-        help="run a stand-in of the platform on a folder of documents",
-        description="Serve a folder (head.json, its documents, vms.json) as the "
-        "platform would, read and watch only. Copying a newer set into the folder "
-        "publishes it. For trials, not for production.",
+        help="run a stand-in of the platform that serves a folder of documents",
+        description="Serve a folder (head.json, its documents, vms.json) through the "
+        "platform's interface, for reads and watches only. Copying a newer set into "
+        "the folder publishes it. For trials, not for production.",
     )
     parser.add_argument("folder", metavar="DIR")
     parser.add_argument("--address", default="127.0.0.1:7070", metavar="IP:PORT")
@@ -24,7 +24,7 @@
 
 
 def run(options):
-    """Run the command."""
+    """Serve the folder until the process is stopped."""
     folder = pathlib.Path(options.folder)
     if not folder.is_dir():
         raise errors.ConfigurationError(folder, "folder", "no such folder")
@@ -37,20 +37,20 @@
     platform = standins.StandinPlatform(state, address)
     await platform.start()
     print(f"serving {folder} at http://{platform.address}", flush=True)
-    complaint = ""
+    last_error = ""
     while True:
         try:
-            load_folder(state, folder)
-            complaint = ""
+            publish_folder(state, folder)
+            last_error = ""
         except errors.ConfigurationError as error:
-            if error.detail != complaint:
-                complaint = error.detail
-                print(f"not published: {complaint}", flush=True)
-        await asyncio.sleep(POLL)
+            if error.detail != last_error:
+                last_error = error.detail
+                print(f"not published: {last_error}", flush=True)
+        await asyncio.sleep(POLL_SECONDS)
 
 
-def load_folder(state, folder):
-    """Publish what the folder holds if it is newer and whole."""
+def publish_folder(state, folder):
+    """Publish the folder's documents and VM list if they are valid and newer."""
     published = configuration.read_published(str(folder))
     if published.revision > state.revision:
         state.replace(published.revision, published.documents)
@@ -59,5 +59,6 @@
         configuration.parse_vm_list(published.vms)
         if data["version"] > state.version:
             state.vms = {row["name"]: row for row in data["vms"]}
+            # touch_vms() increments the version.
             state.version = data["version"] - 1
             state.touch_vms()
--- a/boragegw/cli/_recall.py
+++ b/boragegw/cli/_recall.py
@@ -1,4 +1,4 @@
-"""``boragegw recall`` and ``boragegw return``: the next recalls document."""
+"""``boragegw recall`` and ``boragegw return``: write the next recalls document."""
 
 import sys
 import time
@@ -6,101 +6,113 @@
 from boragegw import configuration, errors
 from boragegw.cli import _operator
 
-WAIT_POLL = 0.2
+STATUS_POLL_SECONDS = 0.2
 
 
 def add_parser(commands):
-    """Add both commands."""
+    """Add the ``recall`` and ``return`` commands to the subparsers."""
     for name, text in (
-        ("recall", "take a batch of backend servers out"),
-        ("return", "bring a recalled batch back"),
+        ("recall", "take a batch of backend servers out of service"),
+        ("return", "return a recalled batch to service"),
     ):
         parser = commands.add_parser(
             name,
             help=text,
             description=f"Write the documents to publish to {text}: a named batch, or "
             "KIND:VALUE[,VALUE...] with a kind of data-centre, release, label or vms. "
-            "Nothing is published: give the folder to the platform's own tool.",
+            "Nothing is published: publish the folder with the platform's own tool.",
         )
         parser.add_argument("batch", metavar="BATCH")
         parser.add_argument(
             "--published",
             metavar="PLACE",
             required=True,
-            help="folder or http://HOST:PORT with what is published now",
+            help="folder or http://HOST:PORT of the published configuration",
         )
         parser.add_argument("--output", metavar="DIR", required=True)
         parser.add_argument(
             "--force",
             action="store_true",
-            help="also if a service loses its last capacity, or nothing is covered",
+            help="allow a batch that takes a service's last capacity or covers nothing",
         )
         parser.add_argument(
             "--wait",
             metavar="ADDRESS",
-            help="follow the status at this operator address until all entries hold it",
+            help="poll this operator address until all entries have the revision",
         )
         parser.add_argument("--timeout", type=float, default=60.0, metavar="SECONDS")
         parser.set_defaults(run=run, returning=name == "return")
 
 
 def run(options):
-    """Run the command."""
+    """Write the documents of the next revision and, with ``--wait``, poll for it."""
     published = configuration.read_published(options.published)
-    row = configuration.parse_batch(options.batch, published.batches())
+    batch = configuration.parse_batch(options.batch, published.batches())
     if options.returning:
-        document = configuration.remove_recall(published.recalls(), row)
+        document = configuration.remove_recall(published.recalls(), batch)
     else:
-        document = configuration.add_recall(published.recalls(), row)
+        document = configuration.add_recall(published.recalls(), batch)
     if published.vms is not None:
-        _show_capacity(options, published, row, document)
+        _check_capacity(options, published, batch, document)
     raw = configuration.encode_document(document)
     revision = configuration.write_next(options.output, published, {"recalls": raw})
     print(f"revision {revision} in {options.output}: publish it with the platform")
     if options.wait:
-        return wait_for(options.wait, revision, options.timeout)
+        return wait_until_in_force(options.wait, revision, options.timeout)
     return 0
 
 
-def _show_capacity(options, published, row, document):
+def _check_capacity(options, published, batch, document):
+    """Print the capacity left; refuse to take a service's last capacity."""
     _, vms = configuration.parse_vm_list(published.vms)
     if not options.returning and not options.force:
-        configuration.check_known(row, vms)
-    rows = list(configuration.capacity_left(vms, document))
-    for left in rows:
+        configuration.check_known(batch, vms)
+    remaining = list(configuration.capacity_left(vms, document))
+    for capacity in remaining:
         print(
-            f"{left.service}: {left.servers_left} of {left.servers} backend servers, "
-            f"{left.slots_left} of {left.slots} slots left"
+            f"{capacity.service}: {capacity.servers_left} of {capacity.servers} "
+            f"backend servers, {capacity.slots_left} of {capacity.slots} slots left"
         )
-    lost = [left.service for left in rows if left.servers_left == 0]
-    if lost and not options.returning and not options.force:
+    depleted = [
+        capacity.service for capacity in remaining if capacity.servers_left == 0
+    ]
+    if depleted and not options.returning and not options.force:
         raise errors.ConfigurationError(
             "command line",
             "BATCH",
-            f"{', '.join(lost)} would lose the last capacity; --force does it anyway",
+            f"{', '.join(depleted)} would lose the last capacity; --force allows it",
         )
 
 
-def wait_for(address, revision, timeout, clock=time.monotonic, sleep=time.sleep):
-    """Follow the status until every entry has ``revision``; return the exit code."""
+def wait_until_in_force(
+    address, revision, timeout, clock=time.monotonic, sleep=time.sleep
+):
+    """Poll the status until every entry has ``revision``; return the exit code.
+
+    :param address: an entry's operator address.
+    :param timeout: in seconds.
+    """
     end = clock() + timeout
-    shown = None
+    printed = None
     while True:
-        waiting = _waiting(address, revision)
-        if waiting != shown:
-            _show_progress(waiting, revision)
-            shown = waiting
-        if waiting == []:
+        pending = _pending_entries(address, revision)
+        if pending != printed:
+            _print_progress(pending, revision)
+            printed = pending
+        if pending == []:
             return 0
         if clock() >= end:
-            names = ", ".join(waiting) if waiting else "the status cannot be read"
+            names = ", ".join(pending) if pending else "the status cannot be read"
             print(f"not confirmed within {timeout:g} s: {names}", file=sys.stderr)
             return 1
-        sleep(WAIT_POLL)
+        sleep(STATUS_POLL_SECONDS)
+
 
+def _pending_entries(address, revision):
+    """Return the names of serving or draining entries that lack the revision.
 
-def _waiting(address, revision):
-    """Return the names of entries without the revision; ``None`` if unreadable."""
+    Return ``None`` if the status cannot be read.
+    """
     try:
         status = _operator.fetch(address, "/ops/status")
     except errors.BoragegwError:
@@ -112,10 +124,10 @@
     ]
 
 
-def _show_progress(waiting, revision):
-    if waiting is None:
+def _print_progress(pending, revision):
+    if pending is None:
         print("the status cannot be read yet")
-    elif waiting:
-        print(f"waiting for {len(waiting)}: {', '.join(waiting)}")
+    elif pending:
+        print(f"waiting for {len(pending)}: {', '.join(pending)}")
     else:
         print(f"revision {revision} is in force on all entries")
--- a/boragegw/cli/_serve.py
+++ b/boragegw/cli/_serve.py
@@ -1,4 +1,4 @@
-"""``boragegw serve``: one entry process."""
+"""``boragegw serve``: runs one entry process."""
 
 import asyncio
 
@@ -6,21 +6,21 @@
 
 
 def add_parser(commands):
-    """Add the command."""
+    """Add the ``serve`` command to the subparsers."""
     parser = commands.add_parser(
         "serve",
         help="run one entry process",
         description="Run one entry process until SIGTERM; a second signal ends it "
-        "at once. Logs go to standard error as JSON lines. With the users' platform's "
-        "settings file it runs as boragegw/platform/__main__.py does, which starts "
-        "sooner, and logs go to standard output.",
+        "at once. Logs go to standard error as JSON lines. With a settings file of the "
+        "users' platform it runs the process of boragegw/platform/__main__.py, which "
+        "starts faster, and logs go to standard output.",
     )
     parser.add_argument("--settings", required=True, metavar="FILE")
     parser.set_defaults(run=run)
 
 
 def run(options):
-    """Run the command."""
+    """Run the process that the settings file describes until it stops."""
     if platform.is_settings_file(options.settings):
         return asyncio.run(platform.PlatformProcess(options.settings).run())
     settings = configuration.load_settings(options.settings)
--- a/boragegw/cli/tests/test_end_to_end.py
+++ b/boragegw/cli/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""From an empty folder to a recall, through the real command line."""
+"""Configures, serves, recalls and returns with real processes and commands."""
 
 import asyncio
 import json
@@ -35,11 +35,11 @@
         }
     ],
 }
-LIMIT = 30.0
+TIMEOUT_SECONDS = 30.0
 
 
 def free_addresses(count):
-    """Return addresses with ports that the kernel has just chosen."""
+    """Return loopback addresses with free ports that the kernel assigned."""
     sockets = [socket.socket() for _ in range(count)]
     for sock in sockets:
         sock.bind(("127.0.0.1", 0))
@@ -50,14 +50,14 @@
 
 
 def wait_until(condition):
-    end = time.monotonic() + LIMIT
+    end = time.monotonic() + TIMEOUT_SECONDS
     while not condition():
-        assert time.monotonic() < end, "waited too long"
+        assert time.monotonic() < end, "condition not met before the timeout"
         time.sleep(0.05)
 
 
 class BackendThread:
-    """Stand-in backend servers in a thread of the test."""
+    """Stand-in backend servers on an event loop in a thread of their own."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
@@ -70,7 +70,9 @@
         self.loop.run_forever()
 
     def call(self, coroutine):
-        return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(LIMIT)
+        return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(
+            TIMEOUT_SECONDS
+        )
 
     def add(self, name):
         async def start():
@@ -84,11 +86,11 @@
         for backend in self.backends.values():
             self.call(backend.stop())
         self.loop.call_soon_threadsafe(self.loop.stop)
-        self.thread.join(LIMIT)
+        self.thread.join(TIMEOUT_SECONDS)
 
 
-class Site:
-    """A folder with everything, and the processes started from it."""
+class Deployment:
+    """A folder with settings and documents, and the processes started from it."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -152,75 +154,81 @@
 
     def is_ready(self, index):
         try:
-            answer = httpx.get(f"http://{self.entries[index][1]}/ops/ready")
+            response = httpx.get(f"http://{self.entries[index][1]}/ops/ready")
         except httpx.HTTPError:
             return False
-        return answer.status_code == 200
+        return response.status_code == 200
 
     def stop(self):
         for process in self.processes:
             if process.poll() is None:
                 process.kill()
-            process.wait(LIMIT)
+            process.wait(TIMEOUT_SECONDS)
         self.backends.stop()
 
 
 @pytest.fixture
-def site(tmp_path):
-    made = Site(tmp_path)
-    yield made
-    made.stop()
+def deployment(tmp_path):
+    created = Deployment(tmp_path)
+    yield created
+    created.stop()
 
 
-def test_configure_serve_recall_return_stop(site, capsys):
-    answers = site.folder / "answers.jsonc"
+def test_configure_serve_recall_return_stop(deployment, capsys):
+    answers = deployment.folder / "answers.jsonc"
     answers.write_text(json.dumps(ANSWERS))
-    (site.folder / "peer.key").write_bytes(b"end-to-end-test-key")
-    documents = str(site.documents)
+    (deployment.folder / "peer.key").write_bytes(b"end-to-end-test-key")
+    documents = str(deployment.documents)
     assert cli.main(["configure", str(answers), "--output", documents]) == 0
     for name in ("claims-dc-a", "claims-dc-b"):
-        site.backends.add(name)
-    site.write_vms()
-    site.start_process("platform", documents, "--address", site.platform)
+        deployment.backends.add(name)
+    deployment.write_vms()
+    deployment.start_process("platform", documents, "--address", deployment.platform)
     entries = [
-        site.start_process("serve", "--settings", str(site.write_settings(index)))
+        deployment.start_process(
+            "serve", "--settings", str(deployment.write_settings(index))
+        )
         for index in range(3)
     ]
-    wait_until(lambda: all(site.is_ready(index) for index in range(3)))
-    _send_requests(site)
-    _recall_and_return(site, documents, capsys)
+    wait_until(lambda: all(deployment.is_ready(index) for index in range(3)))
+    _send_requests(deployment)
+    _recall_and_return(deployment, documents, capsys)
     for process in entries:
         process.send_signal(signal.SIGTERM)
-    assert [process.wait(LIMIT) for process in entries] == [0, 0, 0]
+    assert [process.wait(TIMEOUT_SECONDS) for process in entries] == [0, 0, 0]
 
 
-def _send_requests(site):
-    caller = site.entries[0][0]
-    found = httpx.get(f"http://{caller}/v1/entries", params={"service": "claims"})
-    kept = found.json()
+def _send_requests(deployment):
+    caller = deployment.entries[0][0]
+    listing = httpx.get(f"http://{caller}/v1/entries", params={"service": "claims"})
+    resolved = listing.json()
     for number in range(20):
-        entry = kept["entries"][number % len(kept["entries"])]
+        entry = resolved["entries"][number % len(resolved["entries"])]
         url = f"http://{entry}/v1/services/claims/sheets/{number}"
-        key = f"{kept['lease']}.{number}"
-        answer = httpx.post(url, content=b"x", headers={"idempotency-key": key})
-        assert answer.status_code == 200, answer.text
-        assert answer.headers["boragegw-verdict"] == "ran"
-    runs = [run for b in site.backends.backends.values() for run in b.log]
+        key = f"{resolved['lease']}.{number}"
+        response = httpx.post(url, content=b"x", headers={"idempotency-key": key})
+        assert response.status_code == 200, response.text
+        assert response.headers["boragegw-verdict"] == "ran"
+    runs = [
+        run for backend in deployment.backends.backends.values() for run in backend.log
+    ]
     assert len(runs) == 20
-    request_id = answer.headers["boragegw-request-id"]
-    home = next(e for e in site.entries if e[0] == entry)
-    assert cli.main(["explain", request_id, "--entry", home[1]]) == 0
+    request_id = response.headers["boragegw-request-id"]
+    home_entry = next(
+        addresses for addresses in deployment.entries if addresses[0] == entry
+    )
+    assert cli.main(["explain", request_id, "--entry", home_entry[1]]) == 0
 
 
-def _recall_and_return(site, documents, capsys):
-    operator = site.entries[2][1]
-    places = ["--published", documents, "--output", documents, "--wait", operator]
-    assert cli.main(["recall", "data-centre:dc-b", *places]) == 0
+def _recall_and_return(deployment, documents, capsys):
+    operator = deployment.entries[2][1]
+    arguments = ["--published", documents, "--output", documents, "--wait", operator]
+    assert cli.main(["recall", "data-centre:dc-b", *arguments]) == 0
     assert "is in force on all entries" in capsys.readouterr().out
     assert cli.main(["status", "--entry", operator]) == 0
     shown = capsys.readouterr().out
     assert "recalled: data-centre dc-b" in shown
     assert shown.count("serving") == 3
-    page = httpx.get(f"http://{operator}/")
-    assert "entry-3" in page.text
-    assert cli.main(["return", "data-centre:dc-b", *places]) == 0
+    status_page = httpx.get(f"http://{operator}/")
+    assert "entry-3" in status_page.text
+    assert cli.main(["return", "data-centre:dc-b", *arguments]) == 0
