--- a/examples/asking.py
+++ b/examples/asking.py
@@ -13,10 +13,10 @@
 }
 servers = [
     balancing.Server(
-        balancing.Listing(name, "filing", (name, 80), place, "v1", 6, False, 0.0),
+        balancing.Listing(name, "filing", (name, 80), data_centre, "v1", 6, False, 0.0),
         report=report,
     )
-    for name, (place, report) in reports.items()
+    for name, (data_centre, report) in reports.items()
 ]
 offers = [policy.score(server, now=0.0) for server in servers]
 for offer in offers:
