--- a/boragegw/cli/_configure.py
+++ b/boragegw/cli/_configure.py
@@ -4,7 +4,7 @@
 import json
 
 from boragegw import configuration
-from boragegw.cli import _interview
+from boragegw.cli import _questionnaire
 
 
 def add_parser(commands):
@@ -44,7 +44,7 @@
 def run(options):
     """Generate the documents, then explain, compare or write them."""
     if options.interactive:
-        _interview.ask_questions(options.answers)
+        _questionnaire.ask_questions(options.answers)
     data = configuration.load_jsonc(options.answers)
     answers = configuration.validate_model(configuration.Answers, data, options.answers)
     configuration.check_answers(answers, options.answers)
--- a/boragegw/cli/_explain.py
+++ b/boragegw/cli/_explain.py
@@ -12,7 +12,7 @@
 import sys
 
 from boragegw import errors, operations
-from boragegw.cli import _operator, _tables
+from boragegw.cli import _operator_client, _tables
 
 
 def add_parser(commands):
@@ -67,7 +67,7 @@
     """Explain a request, or the logs, as the options ask."""
     _check(options)
     if options.entry is not None:
-        return _operator.print_document(
+        return _operator_client.print_document(
             options, f"/ops/explain/{options.request_id}", request_lines
         )
     return _explain_logs(options)
--- a/boragegw/cli/_recall.py
+++ b/boragegw/cli/_recall.py
@@ -4,7 +4,7 @@
 import time
 
 from boragegw import configuration, errors
-from boragegw.cli import _operator
+from boragegw.cli import _operator_client
 
 STATUS_POLL_SECONDS = 0.2
 
@@ -114,7 +114,7 @@
     Return ``None`` if the status cannot be read.
     """
     try:
-        status = _operator.fetch(address, "/ops/status")
+        status = _operator_client.fetch(address, "/ops/status")
     except errors.BoragegwError:
         return None
     return [
--- a/boragegw/cli/_status.py
+++ b/boragegw/cli/_status.py
@@ -1,7 +1,7 @@
 """``boragegw status``: prints the state of the fleet as one entry sees it."""
 
 from boragegw import operations
-from boragegw.cli import _operator, _tables
+from boragegw.cli import _operator_client, _tables
 
 
 def add_parser(commands):
@@ -57,4 +57,4 @@
 
 def run(options):
     """Fetch and print the status document."""
-    return _operator.print_document(options, "/ops/status", status_lines)
+    return _operator_client.print_document(options, "/ops/status", status_lines)
--- a/boragegw/cli/tests/test_commands.py
+++ b/boragegw/cli/tests/test_commands.py
@@ -9,7 +9,7 @@
 import pytest
 
 from boragegw import cli, configuration
-from boragegw.cli import _interview
+from boragegw.cli import _questionnaire
 
 EXAMPLES = pathlib.Path(__file__).parents[3] / "examples"
 EXAMPLE_NAMES = ("liffeyside", "habimana")
@@ -172,7 +172,7 @@
         ]
     )
     shown = []
-    _interview.ask_questions(path, lambda prompt: next(inputs), shown.append)
+    _questionnaire.ask_questions(path, lambda prompt: next(inputs), shown.append)
     assert any("'many'" in line for line in shown)
     data = configuration.load_jsonc(path)
     answers = configuration.validate_model(configuration.Answers, data, path)
@@ -180,7 +180,7 @@
     assert answers.data_centres == ["dc-a", "dc-b", "dc-c"]
     assert answers.services[0].requests[0].repeatable is False
     before = path.read_bytes()
-    _interview.ask_questions(path, lambda prompt: "", shown.append)
+    _questionnaire.ask_questions(path, lambda prompt: "", shown.append)
     assert path.read_bytes() == before
 
 
--- a/boragegw/decisions/tests/test_examples.py
+++ b/boragegw/decisions/tests/test_examples.py
@@ -5,7 +5,7 @@
 
 EXAMPLES = pathlib.Path(__file__).parents[3] / "examples"
 EXPECTED = {
-    "asking.py": ["near-full: cost 1.00, no room", "taken: near-quiet"],
+    "probing.py": ["near-full: cost 1.00, no room", "taken: near-quiet"],
     "placement.py": ["chooses claims-0"],
     "at_most_once.py": [
         "first copy: run",
