--- a/boragegw/standins/tests/test_known_red.py
+++ b/boragegw/standins/tests/test_known_red.py
@@ -39,17 +39,17 @@
 
 
 def test_only_lines_that_begin_so_name_tests(module):
-    assert module.listed(TEXT) == [
+    assert module.parse_node_ids(TEXT) == [
         "a/test_a.py::test_one[x y]",
         "a/test_a.py::test_gone",
     ]
-    assert module.listed("") == []
+    assert module.parse_node_ids("") == []
 
 
 def test_exactly_the_listed_tests_are_strictly_expected_to_fail(module):
     names = ("test_one[x y]", "test_one[x]", "test_one", "test_two")
     items = [Item(f"a/test_a.py::{name}") for name in names]
-    missing = module.mark(items, module.listed(TEXT))
+    missing = module.mark_expected_failures(items, module.parse_node_ids(TEXT))
     assert missing == ["a/test_a.py::test_gone"]
     (marker,) = items[0].markers
     assert marker.name == "xfail"
@@ -64,7 +64,7 @@
 def test_run_of_the_whole_suite_fails_without_a_listed_test(
     module, tmp_path, source, fails
 ):
-    (tmp_path / module.FILE).write_text(TEXT)
+    (tmp_path / module.KNOWN_FAILURES_FILE).write_text(TEXT)
     config = types.SimpleNamespace(
         rootpath=tmp_path,
         stash=pytest.Stash(),
@@ -75,4 +75,4 @@
     module.pytest_collection_modifyitems(config, items)
     module.pytest_sessionfinish(session)
     assert bool(session.exitstatus) is fails
-    assert config.stash[module.LISTED] == ["a/test_a.py::test_one[x y]"]
+    assert config.stash[module.EXPECTED_FAILURES] == ["a/test_a.py::test_one[x y]"]
