--- a/boragegw/gateway/_fetch.py
+++ b/boragegw/gateway/_fetch.py
@@ -47,7 +47,7 @@
         self.counters = counters
         self.counter = counter
         self.progress = _sources.Progress()
-        self._pool = _upstream.Pool(address, now, CONNECT_TIMEOUT_SECONDS)
+        self._pool = _upstream.ConnectionPool(address, now, CONNECT_TIMEOUT_SECONDS)
 
     async def get(self, path, timeout):
         """Return the :class:`FetchedResponse` to GET ``path``.
--- a/boragegw/gateway/_asker.py
+++ b/boragegw/gateway/_server_selector.py
@@ -1,4 +1,4 @@
-"""Asks backend servers for their load and places a request on one of them."""
+"""Server selection: probes backend servers for their load and picks one of them."""
 
 import asyncio
 import dataclasses
@@ -6,81 +6,85 @@
 from boragegw import balancing
 from boragegw.gateway import _upstream
 
-#: Seconds that a wave may take before the next one is asked as well. A probe takes up
+#: Seconds that a wave may take before the next one is sent as well. A probe takes up
 #: to 6 ms at a backend server and 4 ms on a new connection between data centres.
 WAVE_TIMEOUT = 0.02
-#: Seconds after which a question counts as not answered.
-ANSWER_TIMEOUT = 0.15
-#: Seconds for which a server that cannot be reached is not asked if others can.
+#: Seconds after which a probe counts as failed.
+PROBE_TIMEOUT = 0.15
+#: Seconds for which an unreachable server is not probed if others are reachable.
 UNREACHABLE_PAUSE = 0.4
-#: Seconds for which a server whose health check fails is not asked if others are well.
-UNWELL_PAUSE = 0.7
+#: Seconds for which a server with a failing health check is not probed if others are
+#: healthy.
+UNHEALTHY_PAUSE = 0.7
 #: Seconds after a broken connection at which a crashed server no longer listens.
 CRASH_DELAY = 0.03
 #: Share of a backend server's connections that all processes together may open. The
-#: rest is for processes that are out of sight.
+#: rest is reserved for processes that this one does not see.
 CONNECTION_SHARE = 0.8
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Place:
-    """A backend server with a connection that has just answered.
+class Selection:
+    """A selected backend server, with the connection on which its probe succeeded.
 
-    :param offer: the judged answer.
+    :param rating: score of the server, a :class:`~boragegw.balancing.ScoredServer`.
     """
 
-    offer: balancing.ScoredServer
-    connection: _upstream.Connection
+    rating: balancing.ScoredServer
+    connection: _upstream.UpstreamConnection
 
     @property
     def server(self):
         """The backend server."""
-        return self.offer.server
+        return self.rating.server
 
 
 @dataclasses.dataclass(slots=True)
-class _Replies:
-    """Places by how good they are: well, cold, and with a failing health check."""
+class _ProbeReplies:
+    """Selections by server: healthy and warm, healthy and cold, or unhealthy."""
 
-    well: list = dataclasses.field(default_factory=list)
+    healthy: list = dataclasses.field(default_factory=list)
     cold: list = dataclasses.field(default_factory=list)
-    unwell: list = dataclasses.field(default_factory=list)
+    unhealthy: list = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(slots=True)
 class Search:
-    """What is looked for.
+    """Criteria and progress of one search for a backend server.
 
     :param service: :class:`~boragegw.balancing.ServiceSettings`.
     :param state: the service's :class:`ServiceState`.
-    :param tried: identities of servers that are not asked.
-    :param give_up_at: monotonic seconds.
-    :param heavy: the answer is large, so the own data centre comes first.
-    :param asked: servers that were asked.
-    :param answered: servers that have answered.
+    :param tried: identities of servers to exclude.
+    :param deadline: monotonic seconds after which no further wave of probes is sent.
+    :param heavy: whether a large response is expected, which favours servers in the own
+        data centre.
+    :param probed: number of probes sent.
+    :param responded: number of servers that have responded.
     """
 
     service: object
     state: object
     tried: set
-    give_up_at: float
+    deadline: float
     heavy: bool = False
-    asked: int = 0
-    answered: int = 0
+    probed: int = 0
+    responded: int = 0
 
     @property
-    def was_silent(self):
-        """Whether servers were asked and none answered."""
-        return bool(self.asked and not self.answered)
+    def unanswered(self):
+        """Whether servers were probed and none responded."""
+        return bool(self.probed and not self.responded)
 
 
-class Asker:
-    """Finds a place for a request by asking candidates.
+class ServerSelector:
+    """Selects a backend server for a request by probing candidates.
 
-    :param board: the :class:`Board`.
+    :param board: the :class:`Blackboard`.
     :param dialect: a :class:`Dialect`.
     :param policy: a :class:`~boragegw.balancing.ProbingPolicy`.
+    :param warmup: the policy that limits requests to cold servers.
     :param now: function that returns monotonic seconds.
+    :param log: an :class:`EventLog`.
     """
 
     def __init__(self, board, dialect, policy, warmup, *, now, random_state, log):
@@ -93,10 +97,11 @@
         self.log = log
         self._pools = {}
 
-    async def place(self, search):
-        """Return a :class:`Place`, or ``None`` if no server has room.
+    async def select(self, search):
+        """Return a :class:`Selection`, or ``None`` if no server has free capacity.
 
-        A service that was full a moment ago is asked less: its answers cost it time.
+        A service that had no free capacity a moment ago is probed less, because
+        answering probes costs its servers time.
 
         :param search: a :class:`Search`.
         """
@@ -106,12 +111,14 @@
         candidates = balancing.available_servers(
             servers, now=now, evacuated=self.board.evacuated, excluded=search.tried
         )
-        replies = _Replies()
-        questions = set()
+        replies = _ProbeReplies()
+        probes = set()
         waves = self.policy.waves(
             candidates,
-            allowed=state.probes.remaining(now, len(servers), self.board.processes),
-            saturation=state.fullness.share(now),
+            allowed=state.probe_budget.remaining(
+                now, len(servers), self.board.processes
+            ),
+            saturation=state.saturation.share(now),
             heavy=search.heavy,
             now=now,
             random_state=self.random_state,
@@ -119,44 +126,44 @@
         )
         try:
             for wave in waves:
-                state.probes.take(len(wave))
-                search.asked += len(wave)
-                questions |= {self._start(search, server) for server in wave}
-                if await self._collect(questions, replies, WAVE_TIMEOUT):
+                state.probe_budget.take(len(wave))
+                search.probed += len(wave)
+                probes |= {self._start(search, server) for server in wave}
+                if await self._collect(probes, replies, WAVE_TIMEOUT):
                     break
-                if self.now() >= search.give_up_at:
+                if self.now() >= search.deadline:
                     break
-            if not replies.well and questions:
-                await self._collect(questions, replies, ANSWER_TIMEOUT)
-            place = self._choose(search.service, replies, candidates)
-            state.fullness.observe(place is None, self.now())
-            if place is None:
+            if not replies.healthy and probes:
+                await self._collect(probes, replies, PROBE_TIMEOUT)
+            selection = self._choose(search.service, replies, candidates)
+            state.saturation.observe(selection is None, self.now())
+            if selection is None:
                 self.board.counters["searches.full"] += 1
-            return place or await self._place_on_cold(search, servers)
+            return selection or await self._select_cold_server(search, servers)
         finally:
-            for question in questions:
-                question.add_done_callback(self._release_late)
+            for probe in probes:
+                probe.add_done_callback(self._release_late)
             self._release_others(replies)
 
-    async def _place_on_cold(self, search, servers):
-        """Return a place on a cold server within the rate that it bears, or ``None``.
+    async def _select_cold_server(self, search, servers):
+        """Return a selection of a cold server within its warm-up rate, or ``None``.
 
-        Cold servers help while the warm ones are full: after a data centre's return
-        they bear a third of what a burst asks for.
+        Cold servers take requests while the warm ones are full. After the return of a
+        data centre, its cold servers can take a third of a burst.
         """
         now = self.now()
         for server in self._cold_candidates(servers, search.tried, now):
             if not self._may_warm(search.service, server):
                 continue
-            place = await self._ask(search, server)
+            selection = await self._probe(search, server)
             if (
-                place is not None
-                and place.offer.has_capacity
+                selection is not None
+                and selection.rating.has_capacity
                 and server.unhealthy_until <= now
             ):
-                return place
-            if place is not None:
-                self.pool(server).release(place.connection)
+                return selection
+            if selection is not None:
+                self.pool(server).release(selection.connection)
         return None
 
     def _cold_candidates(self, servers, tried, now):
@@ -166,58 +173,63 @@
         return candidates
 
     def _start(self, search, server):
-        return asyncio.get_running_loop().create_task(self._ask(search, server))
+        return asyncio.get_running_loop().create_task(self._probe(search, server))
 
-    async def _collect(self, questions, replies, timeout):
-        """Take replies until one is quiet; return whether one is."""
+    async def _collect(self, probes, replies, timeout):
+        """Collect probe results until a lightly loaded server responds.
+
+        Return whether one did before the timeout.
+        """
         end = self.now() + timeout
-        while questions:
+        while probes:
             left = end - self.now()
             if left <= 0:
                 return False
             done, _ = await asyncio.wait(
-                questions, timeout=left, return_when=asyncio.FIRST_COMPLETED
+                probes, timeout=left, return_when=asyncio.FIRST_COMPLETED
             )
-            questions -= done
-            for question in done:
-                self._sort(question.result(), replies)
-            if any(place.offer.is_acceptable for place in replies.well):
+            probes -= done
+            for probe in done:
+                self._classify(probe.result(), replies)
+            if any(selection.rating.is_acceptable for selection in replies.healthy):
                 return True
         return False
 
-    def _sort(self, place, replies):
-        if place is None:
+    def _classify(self, selection, replies):
+        if selection is None:
             return
         now = self.now()
-        server = place.server
+        server = selection.server
         if server.unhealthy_until > now:
-            replies.unwell.append(place)
+            replies.unhealthy.append(selection)
         elif server.is_cold(now):
-            replies.cold.append(place)
+            replies.cold.append(selection)
         else:
-            replies.well.append(place)
+            replies.healthy.append(selection)
 
     def _choose(self, service, replies, candidates):
-        """Return the best place and remove it from the replies.
+        """Return the best selection and remove it from the replies.
 
-        A server whose health check fails is chosen only where all of them fail: it
-        may be leaving, and then gets nothing any more.
+        A server with a failing health check is chosen only if the health checks of all
+        candidates fail. It may be shutting down and must then get no more requests.
         """
-        roomy = [place for place in replies.well if place.offer.has_capacity]
-        if roomy:
-            best = min(roomy, key=lambda place: place.offer.cost)
-            replies.well.remove(best)
+        available = [
+            selection for selection in replies.healthy if selection.rating.has_capacity
+        ]
+        if available:
+            best = min(available, key=lambda selection: selection.rating.cost)
+            replies.healthy.remove(best)
             return best
-        if replies.well:
+        if replies.healthy:
             return None
-        for place in list(replies.cold):
-            if self._may_warm(service, place.server):
-                replies.cold.remove(place)
-                return place
+        for selection in list(replies.cold):
+            if self._may_warm(service, selection.server):
+                replies.cold.remove(selection)
+                return selection
         now = self.now()
-        if replies.unwell and all(s.unhealthy_until > now for s in candidates):
-            best = min(replies.unwell, key=lambda place: place.offer.cost)
-            replies.unwell.remove(best)
+        if replies.unhealthy and all(s.unhealthy_until > now for s in candidates):
+            best = min(replies.unhealthy, key=lambda selection: selection.rating.cost)
+            replies.unhealthy.remove(best)
             return best
         return None
 
@@ -231,15 +243,15 @@
         )
 
     def _release_others(self, replies):
-        for place in (*replies.well, *replies.cold, *replies.unwell):
-            self.pool(place.server).release(place.connection)
+        for selection in (*replies.healthy, *replies.cold, *replies.unhealthy):
+            self.pool(selection.server).release(selection.connection)
 
-    def _release_late(self, question):
-        if question.cancelled():
+    def _release_late(self, probe):
+        if probe.cancelled():
             return
-        place = question.result()
-        if place is not None:
-            self.pool(place.server).release(place.connection)
+        selection = probe.result()
+        if selection is not None:
+            self.pool(selection.server).release(selection.connection)
 
     def _connected(self, servers):
         """Return the identities of the servers to which a connection is idle."""
@@ -250,7 +262,7 @@
             if (pool := pools.get(server.listing.address)) is not None and pool.has_idle
         }
 
-    def welcome(self, server):
+    def on_server_joined(self, server):
         """Decide whether this process tries a server first that has just joined."""
         processes = self.board.processes
         server.preferred_as_new = self.policy.prefers_new_server(
@@ -262,7 +274,7 @@
         key = server.listing.address
         pool = self._pools.get(key)
         if pool is None:
-            pool = self._pools[key] = _upstream.Pool(key, self.now)
+            pool = self._pools[key] = _upstream.ConnectionPool(key, self.now)
         return pool
 
     def connection_limit(self, service):
@@ -270,12 +282,13 @@
         share = service.max_connections * CONNECTION_SHARE / self.board.processes
         return max(2, int(share))
 
-    async def _ask(self, search, server):
-        """Ask one server; return a :class:`Place` or ``None``."""
+    async def _probe(self, search, server):
+        """Probe one server; return a :class:`Selection` or ``None``."""
         service = search.service
         pool = self.pool(server)
         gauge = search.state.pace
-        # Only a new connection tells the pace of a server that reports no load.
+        # If a server reports no load, its slowness shows only in the time that a probe
+        # takes on a new connection.
         fresh = server.report is None and gauge.wants_new_connection(self.random_state)
         try:
             connection = await pool.acquire(self.connection_limit(service), fresh)
@@ -283,17 +296,19 @@
             server.unreachable_until = self.now() + UNREACHABLE_PAUSE
             return None
         self.board.counters["probes.sent"] += 1
-        asked_at = self.now()
+        probed_at = self.now()
         try:
-            async with asyncio.timeout(ANSWER_TIMEOUT):
-                question = self.dialect.health_question(service, server)
-                answer = await connection.start(question, self.dialect.answers_health)
-                while not answer.complete:
-                    if answer.error is not None:
-                        raise answer.error
-                    await answer.changed()
+            async with asyncio.timeout(PROBE_TIMEOUT):
+                request = self.dialect.health_request(service, server)
+                response = await connection.start(
+                    request, self.dialect.is_health_response
+                )
+                while not response.complete:
+                    if response.error is not None:
+                        raise response.error
+                    await response.changed()
         except (_upstream.ExchangeError, TimeoutError):
-            # Its other idle connections are as old and may be as silent.
+            # Its other idle connections are as old and may be dead as well.
             pool.discard(connection)
             pool.close()
             server.failures.observe(True, self.now())
@@ -301,16 +316,16 @@
         except asyncio.CancelledError:
             pool.discard(connection)
             raise
-        answer.take()
+        response.take()
         if fresh:
-            seconds = self.now() - asked_at - connection.round_trip
+            seconds = self.now() - probed_at - connection.round_trip
             server.observe_slowness(gauge.observe(seconds), self.now())
         if not connection.reusable:
-            # Backend servers end connections now and then with an answer.
+            # Backend servers occasionally close a connection after a response.
             connection = await self._replace(service, server, connection)
             if connection is None:
                 return None
-        return self._judge(search, server, connection, answer)
+        return self._judge(search, server, connection, response)
 
     async def _replace(self, service, server, ended):
         pool = self.pool(server)
@@ -321,10 +336,10 @@
             server.unreachable_until = self.now() + UNREACHABLE_PAUSE
             return None
 
-    def _judge(self, search, server, connection, answer):
+    def _judge(self, search, server, connection, response):
         now = self.now()
-        search.answered += 1
-        health = self.dialect.read_health(answer, now)
+        search.responded += 1
+        health = self.dialect.parse_health(response, now)
         if health.identity and health.identity != server.identity:
             server.moved = True
             self.log.event(
@@ -337,15 +352,15 @@
         if health.cold_for is not None:
             server.cold_until = now + health.cold_for
         if not health.healthy:
-            server.unhealthy_until = now + UNWELL_PAUSE
-        offer = self.policy.score(server, now, heavy=search.heavy)
-        return Place(offer, connection)
+            server.unhealthy_until = now + UNHEALTHY_PAUSE
+        rating = self.policy.score(server, now, heavy=search.heavy)
+        return Selection(rating, connection)
 
     async def has_crashed(self, server):
         """Return whether it is proved that nothing listens at the server's address.
 
         Only a refusal is proof: a connection that takes too long may wait on a full
-        link, while the server is well.
+        link, while the server is healthy.
         """
         await asyncio.sleep(CRASH_DELAY)
         try:
@@ -355,7 +370,7 @@
         self.pool(server).discard(connection)
         return False
 
-    def forget(self, addresses):
+    def close_pools(self, addresses):
         """Close the connections to addresses that are no longer listed."""
         for address in addresses:
             pool = self._pools.pop(address, None)
--- a/boragegw/gateway/tests/test_upstream.py
+++ b/boragegw/gateway/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Answers of backend servers, in a table: whole, broken, foreign, extra."""
+"""Parsing of responses: complete, truncated, mismatched and unsolicited."""
 
 import asyncio
 
@@ -37,28 +37,30 @@
 
 
 async def exchange(pieces, end=None, then=b""):
-    """Return (body or failure, whether the connection is used again)."""
+    """Return the body or the name of the failure, and ``reusable``."""
     loop = asyncio.get_running_loop()
-    connection = gateway.Connection(loop.time)
+    connection = gateway.UpstreamConnection(loop.time)
     connection.connection_made(Transport())
-    head = connection.start(b"request", lambda answer: answer.header(b"id") == b"a")
+    head_future = connection.start(
+        b"request", lambda response: response.header(b"id") == b"a"
+    )
     for piece in pieces:
         connection.data_received(piece)
     if end is not None:
         if end == "eof":
             connection.eof_received()
         connection.connection_lost(None if end == "eof" else ConnectionResetError())
-    if not head.done():
+    if not head_future.done():
         return None, connection.reusable
     try:
-        answer = head.result()
+        response = head_future.result()
     except gateway.ExchangeError as error:
         return error.failure.name, connection.reusable
     if then:
         connection.data_received(then)
-    if answer.error is not None:
-        return answer.error.failure.name, connection.reusable
-    return (bytes(answer.body) if answer.complete else None), connection.reusable
+    if response.error is not None:
+        return response.error.failure.name, connection.reusable
+    return (bytes(response.body) if response.complete else None), connection.reusable
 
 
 @pytest.mark.parametrize(
@@ -91,6 +93,6 @@
         ([b"HTTP/1.1 200 OK\r\nx: " + b"y" * 70_000], None, b"", "MALFORMED", False),
     ],
 )
-def test_answers(pieces, end, then, result, reusable):
+def test_response_parsing(pieces, end, then, result, reusable):
     found = standins.run_in_memory(exchange(pieces, end, then))
     assert found == (result, reusable)
--- a/boragegw/peers/_codec.py
+++ b/boragegw/peers/_datagram_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams as capnp messages (``messages.capnp``, packed) with a MAC at the end."""
+"""Datagram codec: packed capnp messages (``messages.capnp``) followed by a MAC."""
 
 import hashlib
 import hmac
@@ -7,21 +7,21 @@
 import capnp
 
 from boragegw import blackboard
-from boragegw.peers import _authenticity, _messages
+from boragegw.peers import _authentication, _messages
 
 capnp.remove_import_hook()
 _SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("messages.capnp")))
 
-DATAGRAM_LIMIT = 1200
-MAX_MS = 0xFFFFFFFF
+DATAGRAM_LIMIT = 1200  # bytes
+MAX_MILLISECONDS = 0xFFFFFFFF  # largest UInt32 of the schema
 
 
 class MalformedDatagramError(ValueError):
-    """A datagram is foreign, damaged or makes no sense."""
+    """A datagram is not from a peer, or is corrupted, replayed or invalid."""
 
 
 def _milliseconds(seconds):
-    return max(0, min(MAX_MS, int(min(seconds, 1e7) * 1000)))
+    return max(0, min(MAX_MILLISECONDS, int(min(seconds, 1e7) * 1000)))
 
 
 def _write_member(builder, member, age):
@@ -128,10 +128,10 @@
 
 
 class DatagramCodec:
-    """Encodes the messages of one sender and decodes those of its peers.
+    """Encodes the messages of this process and decodes those of its peers.
 
-    :param secret: the peers' shared key.
-    :param incarnation: of this process.
+    :param secret: key that all peers share.
+    :param incarnation: identifier of this run of the process, sent as the sender.
     :param clock: a :class:`~boragegw.utils.Clock`.
     """
 
@@ -140,11 +140,11 @@
         self.incarnation = incarnation
         self.clock = clock
         self._sequence = 0
-        self._window = _authenticity.ReplayWindow()
+        self._window = _authentication.ReplayWindow()
 
     def _mac(self, payload):
         digest = hmac.digest(self.secret, b"datagram" + payload, hashlib.sha256)
-        return digest[: _authenticity.MAC_BYTES]
+        return digest[: _authentication.MAC_BYTES]
 
     def encode(self, message):
         """Return the datagram for ``message``."""
@@ -160,10 +160,11 @@
     def decode(self, datagram):
         """Return the sender's incarnation and the message.
 
-        :raises MalformedDatagramError: for a foreign, damaged, old or repeated one.
+        :raises MalformedDatagramError: if the MAC is wrong, or the datagram is
+            invalid, too old or replayed.
         """
-        payload = datagram[: -_authenticity.MAC_BYTES]
-        mac = datagram[-_authenticity.MAC_BYTES :]
+        payload = datagram[: -_authentication.MAC_BYTES]
+        mac = datagram[-_authentication.MAC_BYTES :]
         if not payload or not hmac.compare_digest(mac, self._mac(payload)):
             raise MalformedDatagramError("wrong MAC")
         try:
@@ -174,6 +175,6 @@
             sent_at = root.sentAtMs / 1000
         except (capnp.KjException, KeyError, ValueError) as error:
             raise MalformedDatagramError(str(error)) from error
-        if not self._window.accepts(sender, sequence, sent_at, self.clock.wall()):
+        if not self._window.accept(sender, sequence, sent_at, self.clock.wall()):
             raise MalformedDatagramError("replayed or too old")
         return sender, message
--- a/boragegw/peers/_http.py
+++ b/boragegw/peers/_http.py
@@ -1,26 +1,28 @@
-"""Forwards and bulk transfers between peers over HTTP, and datagrams over UDP."""
+"""Network between peers: HTTP for forwarding and bulk transfers, UDP for datagrams."""
 
 import base64
 
 import httpx
 
 from boragegw import errors, messages
-from boragegw.peers import _base, _tables
+from boragegw.peers import _base, _bulk_codec
 
-SIGNATURE = b"boragegw-peer-signature"
-FORWARD = b"boragegw-forward"
+SIGNATURE_HEADER = b"boragegw-peer-signature"
+FORWARD_HEADER = b"boragegw-forward"
 FORWARD_PATH = "/peer/forward"
 CONFIGURATION_PATH = "/peer/configuration"
 SEALED_PATH = "/peer/sealed"
-CONNECT_TIMEOUT = 0.5
-BULK_TIMEOUT = 5.0
-BUNDLE_LIMIT = 64 << 20
+CONNECT_TIMEOUT = 0.5  # seconds
+BULK_TIMEOUT = 5.0  # seconds
+BUNDLE_LIMIT = 64 << 20  # bytes
 
 
-def pack_forward(incarnation, request, remaining):
-    """Return the header value that describes a forwarded request, and its parts.
+def encode_forward_header(incarnation, request, remaining):
+    """Return the header value that describes a forwarded request.
 
-    The parts are signed, so they are joined in one unambiguous text.
+    The fields are joined in one unambiguous text because they are signed together.
+
+    :param remaining: seconds until the deadline of the request.
     """
     fields = (
         str(incarnation),
@@ -36,10 +38,10 @@
     return base64.urlsafe_b64encode(text)
 
 
-def unpack_forward(value):
-    """Return the fields of a forwarded request.
+def decode_forward_header(value):
+    """Return the fields that the header value ``value`` describes.
 
-    :raises PeerError: if they are damaged.
+    :raises PeerError: if the value is malformed.
     """
     try:
         fields = base64.urlsafe_b64decode(value).decode().split("\n")
@@ -55,11 +57,11 @@
             int(left),
         )
     except ValueError as error:
-        raise _base.PeerError(f"damaged forward: {error}") from error
+        raise _base.PeerError(f"malformed forwarding header: {error}") from error
 
 
 class HttpPeerNetwork(_base.PeerNetwork):
-    """The network in production.
+    """Network that uses HTTP and UDP sockets.
 
     :param udp: a :class:`UdpEndpoint`.
     :param signer: a :class:`RequestSigner`.
@@ -83,13 +85,13 @@
         self.udp.send(address, message)
 
     async def forward(self, address, incarnation, request):
-        """Have another process carry ``request``; streamed both ways."""
+        """Forward ``request`` to another process; both bodies are streamed."""
         remaining = request.deadline - self.clock.now()
-        described = pack_forward(incarnation, request, remaining)
-        signature = self.signer.sign(self.clock.wall(), FORWARD, described)
+        description = encode_forward_header(incarnation, request, remaining)
+        signature = self.signer.sign(self.clock.wall(), FORWARD_HEADER, description)
         skipped = (b"host", b"content-length")
         headers = [(k, v) for k, v in request.headers if k not in skipped]
-        headers += [(FORWARD, described), (SIGNATURE, signature)]
+        headers += [(FORWARD_HEADER, description), (SIGNATURE_HEADER, signature)]
         if request.trace is not None:
             headers = [h for h in headers if h[0] != messages.TRACEPARENT_HEADER]
             headers.append((messages.TRACEPARENT_HEADER, request.trace))
@@ -106,12 +108,12 @@
             raise _base.PeerError(f"{address}: {error!r}") from error
         except httpx.HTTPError as error:
             raise _base.PeerError(f"{address}: {error!r}", sent=True) from error
-        return await self._answer(address, response)
+        return await self._read_response(address, response)
 
-    async def _answer(self, address, response):
+    async def _read_response(self, address, response):
         headers = [(k.lower(), v) for k, v in response.headers.raw]
         verdict = messages.find_header(headers, messages.VERDICT_HEADER)
-        if messages.find_header(headers, FORWARD) is None or verdict is None:
+        if messages.find_header(headers, FORWARD_HEADER) is None or verdict is None:
             await response.aclose()
             raise _base.PeerError(
                 f"{address}: status {response.status_code}, not from the process asked",
@@ -121,16 +123,16 @@
             (k, v)
             for k, v in headers
             if k not in messages.HOP_BY_HOP_HEADERS
-            and k not in (FORWARD, b"date", b"server")
+            and k not in (FORWARD_HEADER, b"date", b"server")
         ]
         return messages.Response(
             response.status_code,
             kept,
-            _forwarded_body(response),
+            _stream_body(response),
             errors.Verdict(verdict.decode()),
         )
 
-    async def _bulk(self, method, address, path, content=b""):
+    async def _bulk_request(self, method, address, path, content=b""):
         signature = self.signer.sign(
             self.clock.wall(), method.encode(), path.encode(), content
         )
@@ -138,7 +140,7 @@
             response = await self._http().request(
                 method,
                 f"http://{address}{path}",
-                headers={SIGNATURE.decode(): signature.decode()},
+                headers={SIGNATURE_HEADER.decode(): signature.decode()},
                 content=content,
             )
         except httpx.HTTPError as error:
@@ -151,23 +153,25 @@
 
     async def fetch_configuration(self, address, known):
         """Return a peer's configuration bundle."""
-        content = _tables.encode_known(known)
-        return _tables.decode_bundle(
-            await self._bulk("POST", address, CONFIGURATION_PATH, content)
+        content = _bulk_codec.encode_known_configuration(known)
+        return _bulk_codec.decode_bundle(
+            await self._bulk_request("POST", address, CONFIGURATION_PATH, content)
         )
 
-    async def hand_over(self, address, sealed):
-        """Give a sealed table to a peer."""
-        await self._bulk("POST", address, SEALED_PATH, _tables.encode_sealed(sealed))
+    async def send_sealed_table(self, address, sealed):
+        """Send a sealed key table to a peer."""
+        await self._bulk_request(
+            "POST", address, SEALED_PATH, _bulk_codec.encode_sealed_table(sealed)
+        )
 
     async def aclose(self):
-        """Close the socket and all connections."""
+        """Close the UDP socket and all HTTP connections."""
         self.udp.close()
         if self._client is not None:
             await self._client.aclose()
 
 
-async def _forwarded_body(response):
+async def _stream_body(response):
     try:
         async for chunk in response.aiter_raw():
             yield chunk
--- a/boragegw/platform/tests/test_large_configuration.py
+++ b/boragegw/platform/tests/test_large_configuration.py
@@ -38,7 +38,7 @@
         await installation.add_backend(f"i-{number}")
     for number in range(GATEWAYS):
         rate = FAST_MBPS if number == 3 else link
-        await installation.add_gateway(f"gw-{number}", link=rate, limited=True)
+        await installation.add_gateway(f"gw-{number}", link_mbps=rate, limited=True)
     await asyncio.sleep(SETTLING_SECONDS)
     assert outdated_gateways(installation) == []
     return installation
@@ -99,7 +99,9 @@
 async def test_process_on_a_slow_link_starts_in_time_with_a_large_configuration():
     routes = standins.many_routes(ROUTES)
     installation = await start_settled_installation(routes, SLOW_MBPS)
-    process = await installation.add_gateway("gw-new", link=SLOW_MBPS, limited=True)
+    process = await installation.add_gateway(
+        "gw-new", link_mbps=SLOW_MBPS, limited=True
+    )
     await asyncio.sleep(STARTUP_LIMIT_SECONDS)
     assert process.board.ready
     assert await refusing_gateways(installation, routes[0]) == []
@@ -114,7 +116,7 @@
     backend = await installation.add_backend("i-0")
     for number in range(ENTRIES):
         installation.store.put(f"servers/i-x{number}", backend.entry("other"))
-    process = await installation.add_gateway("gw-0", link=SLOW_MBPS, limited=True)
+    process = await installation.add_gateway("gw-0", link_mbps=SLOW_MBPS, limited=True)
     await asyncio.sleep(STARTUP_LIMIT_SECONDS)
     assert process.board.ready
 
@@ -173,7 +175,7 @@
     routes = standins.many_routes(ROUTES)
     installation.publish(routes)
     await installation.add_backend("i-0")
-    await installation.add_gateway("gw-0", link=2.0, limited=True)
+    await installation.add_gateway("gw-0", link_mbps=2.0, limited=True)
     await asyncio.sleep(0.5)
     arguments = {"path": f"{routes[0]['prefix']}x", "host": routes[0]["host"]}
     long_deadline = installation.call(**arguments, x_deadline_ms="2500")
--- a/boragegw/platform/tests/test_slow_sources.py
+++ b/boragegw/platform/tests/test_slow_sources.py
@@ -74,7 +74,7 @@
     await installation.add_backend("i-0")
     for number in range(30):
         rate = 200.0 if number == 0 else 1.0
-        await installation.add_gateway(f"gw-{number}", link=rate, limited=True)
+        await installation.add_gateway(f"gw-{number}", link_mbps=rate, limited=True)
     await asyncio.sleep(10.0)
     assert test_large_configuration.outdated_gateways(installation) == []
     before = installation.store.calls
@@ -96,7 +96,7 @@
 
     class StoreWithoutHistory(_wire_store.WireStore):
         async def _watch(self, query):
-            return gateway.Reply(410)
+            return gateway.EndpointResponse(410)
 
     installation = await test_sources.start_store(StoreWithoutHistory(("store", 1)))
     installation.publish([standins.WireWorld.route()])
@@ -113,7 +113,9 @@
     """After a broken watch of the store, only a full read shows what it missed."""
     installation = await standins.WireWorld().start(gateways=2)
     await asyncio.sleep(5.0)
-    root = next(n for n, p in installation.processes.items() if p.own.watches_store)
+    root = next(
+        n for n, p in installation.processes.items() if p.local_member.watches_store
+    )
     follower = installation.processes[root].follower
     follower._must_reread = True
 
@@ -164,7 +166,7 @@
             near.abort()
     await asyncio.sleep(2.0)
     assert all(call.done() for call in calls)
-    assert process.board.learning
+    assert process.board.loading_snapshot
     assert not process.board.configured._waiters
 
 
@@ -193,9 +195,9 @@
     )
     await asyncio.sleep(20.0)
     processes = installation.processes.values()
-    roots = [process for process in processes if process.own.watches_store]
+    roots = [process for process in processes if process.local_member.watches_store]
     for process in roots:
-        if process.own.data_centre != "dc-b":
+        if process.local_member.data_centre != "dc-b":
             process.follower.store = SilentStore()
     installation.publish([installation.route("/first/")])
     await asyncio.sleep(5.0)
--- a/boragegw/platform/tests/test_sources.py
+++ b/boragegw/platform/tests/test_sources.py
@@ -25,7 +25,7 @@
         await asyncio.sleep(self.delay)
         if self.failing and (self.calls + 1) % self.failing == 0:
             self.calls += 1
-            return gateway.Reply(503)
+            return gateway.EndpointResponse(503)
         return await super()._handle(request)
 
 
@@ -76,7 +76,7 @@
     for number in range(3):
         await installation.add_gateway(f"gw-{number}")
     await asyncio.sleep(5.0)
-    roots = [p for p in installation.processes.values() if p.own.watches_store]
+    roots = [p for p in installation.processes.values() if p.local_member.watches_store]
     assert len(roots) == 1
     store.page = 1
     store.delay = 0.1
@@ -162,7 +162,7 @@
     """The failure was counted until the next watch ended, 20 s without a change."""
     installation = await standins.WireWorld().start(gateways=3)
     await asyncio.sleep(60.0)
-    root = next(n for n, p in _processes(installation) if p.own.watches_store)
+    root = next(n for n, p in _processes(installation) if p.local_member.watches_store)
     name = next(n for n, p in _processes(installation) if n != root)
     assert (await installation.call(UNKNOWN_PATH, to=name, host="none")).status == 404
     for one, other in installation.network.connections:
@@ -179,7 +179,7 @@
     """An earlier watch lasts 20 s; the role of its source is known only at its end."""
     installation = await standins.WireWorld().start(gateways=30)
     await asyncio.sleep(60.0)
-    root = next(n for n, p in _processes(installation) if p.own.watches_store)
+    root = next(n for n, p in _processes(installation) if p.local_member.watches_store)
     for name in installation.processes:
         if name != root:
             _abort_connections(installation, name, root)
@@ -197,7 +197,7 @@
 async def test_single_failures_of_a_peer_and_the_store_are_no_store_outage():
     installation = await standins.WireWorld().start(gateways=3)
     await asyncio.sleep(60.0)
-    root = next(n for n, p in _processes(installation) if p.own.watches_store)
+    root = next(n for n, p in _processes(installation) if p.local_member.watches_store)
     name = next(n for n, p in _processes(installation) if n != root)
     process = installation.processes[name]
     events = []
@@ -241,9 +241,9 @@
     await installation.add_backend("i-0")
     for number in range(3):
         rate = 200.0 if number == 0 else 100.0
-        await installation.add_gateway(f"gw-{number}", link=rate)
+        await installation.add_gateway(f"gw-{number}", link_mbps=rate)
     await asyncio.sleep(10.0)
-    assert installation.processes["gw-0"].own.watches_store
+    assert installation.processes["gw-0"].local_member.watches_store
     installation.network.set_link("gw-0", 0.02)
     installation.network._incoming.clear()
     return installation
@@ -290,12 +290,12 @@
     """During a rolling upgrade, the previous version lacks ``/v1/replica``."""
     installation = await standins.WireWorld().start(gateways=12)
     await asyncio.sleep(20.0)
-    root = next(n for n, p in _processes(installation) if p.own.watches_store)
+    root = next(n for n, p in _processes(installation) if p.local_member.watches_store)
 
     async def endpoint_without_replica(request):
-        return gateway.Reply(404)
+        return gateway.EndpointResponse(404)
 
-    installation.processes[root].own.replica_format = 0
+    installation.processes[root].local_member.replica_format = 0
     await asyncio.sleep(5.0)
     endpoint = gateway.Endpoint(endpoint_without_replica, now=installation.loop.time)
     await endpoint.listen((root, standins.PEER_PORT))
@@ -317,7 +317,7 @@
     class RestoredStore(_wire_store.WireStore):
         async def _watch(self, query):
             if int(query["after"]) > self.revision:
-                return gateway.Reply(410)
+                return gateway.EndpointResponse(410)
             return await super()._watch(query)
 
     store = RestoredStore(("store", 1))
--- a/boragegw/platform/tests/test_store_updates.py
+++ b/boragegw/platform/tests/test_store_updates.py
@@ -118,14 +118,16 @@
     """
     installation = await start_installation(gateways=3)
     await asyncio.sleep(3.0)
-    watchers = [p for p in installation.processes.values() if p.own.watches_store]
+    watchers = [
+        p for p in installation.processes.values() if p.local_member.watches_store
+    ]
     assert len(watchers) == 1
     for one, _ in installation.network.connections:
         if one.remote == STORE:
             one.abort()
     for _ in range(40):
         await asyncio.sleep(0.05)
-        assert watchers[0].own.reads_store
+        assert watchers[0].local_member.reads_store
     installation.publish([installation.route("/new/")])
     await asyncio.sleep(1.0)
     for name in installation.processes:
@@ -191,7 +193,7 @@
     installation.publish([installation.route()])
     await installation.add_backend("i-0")
     for number in range(8):
-        await installation.add_gateway(f"gw-{number}", first_start=True)
+        await installation.add_gateway(f"gw-{number}", bootstrap=True)
     await asyncio.sleep(6.0)
     assert all(p.board.ready for p in installation.processes.values())
     assert installation.store.calls <= 6
@@ -207,9 +209,11 @@
     installation.publish([installation.route()])
     for number in range(6):
         link = 100.0 if number == 4 else 5.0
-        await installation.add_gateway(f"gw-{number}", link=link, first_start=True)
+        await installation.add_gateway(f"gw-{number}", link_mbps=link, bootstrap=True)
     await asyncio.sleep(6.0)
     watching = [
-        name for name, p in installation.processes.items() if p.own.watches_store
+        name
+        for name, p in installation.processes.items()
+        if p.local_member.watches_store
     ]
     assert watching == ["gw-4"]
--- a/boragegw/server/_node.py
+++ b/boragegw/server/_node.py
@@ -180,7 +180,7 @@
             parameters.table_limit, parameters.retention, parameters.stored_bytes_limit
         )
         self.leases = decisions.LeaseAuthority(secret)
-        policies = entry.Policies(
+        policies = entry.ExecutionPolicies(
             decisions.RetryPolicy(), self.hedging, decisions.QuarantinePolicy()
         )
         self.executor = entry.Executor(
@@ -193,7 +193,7 @@
             self.tasks,
             self.tracer,
         )
-        self.home = entry.Home(
+        self.home = entry.AtMostOnceExecutor(
             self.board,
             self.clock,
             self.keys,
@@ -201,7 +201,7 @@
             self.executions,
             parameters.stored_response_limit,
         )
-        self.carrier = entry.Carrier(
+        self.carrier = entry.RequestRouter(
             self.board,
             self.clock,
             self.home,
@@ -244,7 +244,7 @@
 
     def _handle_configuration_change(self):
         self.services.refresh()
-        self.transport.set_sharers(sum(1 for _ in self.board.fleet.entries()))
+        self.transport.set_entry_count(sum(1 for _ in self.board.fleet.entries()))
         self.membership.broadcast_heartbeat()
 
     @property
@@ -380,7 +380,7 @@
 
     async def _hand_over_table(self, member, table):
         try:
-            await self.network.hand_over(member.peer_address, table)
+            await self.network.send_sealed_table(member.peer_address, table)
         except peers.PeerError as error:
             logger.warning("cannot hand a key table over to a peer: %s", error)
 
--- a/boragegw/server/_peer_application.py
+++ b/boragegw/server/_peer_application.py
@@ -6,7 +6,7 @@
 import litestar.types
 
 from boragegw import errors, messages, peers
-from boragegw.peers import _http, _tables
+from boragegw.peers import _bulk_codec, _http
 
 logger = logging.getLogger(__name__)
 
@@ -57,15 +57,17 @@
             await _reply(send, 400)
 
     def _verify_signature(self, scope, *parts):
-        value = messages.find_header(scope["headers"], _http.SIGNATURE, b"")
+        value = messages.find_header(scope["headers"], _http.SIGNATURE_HEADER, b"")
         if self.signer.verify(self.node.clock.wall(), value, *parts):
             return True
         self.node.board.counters["peers.requests_refused"] += 1
         return False
 
     async def _forward(self, scope, receive, send):
-        packed_fields = messages.find_header(scope["headers"], _http.FORWARD, b"")
-        if not self._verify_signature(scope, _http.FORWARD, packed_fields):
+        packed_fields = messages.find_header(
+            scope["headers"], _http.FORWARD_HEADER, b""
+        )
+        if not self._verify_signature(scope, _http.FORWARD_HEADER, packed_fields):
             await _reply(send, 403)
             return
         lifecycle = self.node.board.lifecycle
@@ -76,9 +78,9 @@
             lifecycle.in_flight -= 1
 
     async def _serve_forward(self, scope, receive, send, packed_fields):
-        fields = _http.unpack_forward(packed_fields)
+        fields = _http.decode_forward_header(packed_fields)
         incarnation, request_id, service, method, target, key, remaining, left = fields
-        internal_headers = (_http.FORWARD, _http.SIGNATURE)
+        internal_headers = (_http.FORWARD_HEADER, _http.SIGNATURE_HEADER)
         request = messages.Request(
             request_id=request_id,
             service=service,
@@ -91,7 +93,7 @@
             retries_left=left,
             trace=messages.find_header(scope["headers"], messages.TRACEPARENT_HEADER),
         )
-        response = await self.node.carrier.carry_forwarded(incarnation, request)
+        response = await self.node.carrier.handle_forwarded(incarnation, request)
         if response is None:
             await _reply(send, 421)
             return
@@ -102,13 +104,15 @@
             scope, receive, send, MAX_KNOWN_CONFIGURATION_BYTES
         )
         if raw is not None:
-            bundle = self.node.configuration.build_bundle(_tables.decode_known(raw))
-            await _reply(send, 200, _tables.encode_bundle(bundle))
+            bundle = self.node.configuration.build_bundle(
+                _bulk_codec.decode_known_configuration(raw)
+            )
+            await _reply(send, 200, _bulk_codec.encode_bundle(bundle))
 
     async def _sealed(self, scope, receive, send):
         raw = await self._read_signed_body(scope, receive, send, MAX_SEALED_TABLE_BYTES)
         if raw is not None:
-            self.node.store_sealed_table(peers.decode_sealed(raw))
+            self.node.store_sealed_table(peers.decode_sealed_table(raw))
             await _reply(send, 200)
 
     async def _read_signed_body(self, scope, receive, send, limit):
@@ -152,7 +156,7 @@
     headers = [
         *(h for h in response.headers if h[0] != messages.VERDICT_HEADER),
         (messages.VERDICT_HEADER, response.verdict.value.encode()),
-        (_http.FORWARD, b"answer"),
+        (_http.FORWARD_HEADER, b"answer"),
     ]
     try:
         await send(
