--- a/benchmarks/_rollout_fleet.py
+++ b/benchmarks/_rollout_fleet.py
@@ -63,7 +63,7 @@
         self.case = case
         self.loop = asyncio.get_running_loop()
         self.random_state = random.Random(case.seed)
-        self.store = standins.WireStore(standins.STORE)
+        self.store = standins.WireStore(standins.STORE_ADDRESS)
         self.gossip = _rollout_replica.Gossip(self._members())
         self.records = {}
         self.check_interval = IDLE_CHECK
--- a/benchmarks/_rollout_replica.py
+++ b/benchmarks/_rollout_replica.py
@@ -193,7 +193,7 @@
 
     async def run(self):
         """Answer others, follow and check for ever."""
-        standins.HOST.set(self.own.name)
+        standins.CURRENT_HOST.set(self.own.name)
         address = (self.own.name, standins.PEER_PORT)
         await gateway.Endpoint(self._answer, now=self.loop.time).listen(address)
         await asyncio.gather(self.follower.run(), self._check())
@@ -223,7 +223,7 @@
 
     def _store(self):
         return platform.StoreClient(
-            standins.STORE, self.loop.time, self.board.counters, NoLog()
+            standins.STORE_ADDRESS, self.loop.time, self.board.counters, NoLog()
         )
 
     def _peer_source(self, address):
--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -69,30 +69,30 @@
 
 async def _in_time(scenario, policies, seed):
     kind = SilentBackend if scenario.silent else standins.NoisyBackend
-    installation = await standins.noisy_world(
-        kind=kind, route_kind=scenario.route_kind, seed=seed, policies=policies
+    installation = await standins.start_noisy_installation(
+        backend_class=kind, route_type=scenario.route_kind, seed=seed, policies=policies
     )
     for name in ("i-0", "i-1", "i-2"):
         for field, value in scenario.faults.items():
             setattr(installation.backends[name].faults, field, value)
-    load = standins.CallerLoad(
+    load = standins.LoadGenerator(
         installation, scenario.per_second, scenario.urgent_share, seed
     )
     if scenario.joined:
         return await _share_of_joined(installation, load, scenario.joined)
-    usual, urgent = await load.play(SECONDS)
+    usual, urgent = await load.run(SECONDS)
     return urgent.in_time if scenario.urgent_share else usual.in_time
 
 
 async def _share_of_joined(installation, load, count):
     """Return the share of joined servers that get work within some seconds."""
-    await load.play(2.0)
+    await load.run(2.0)
     names = [f"i-new-{number}" for number in range(count)]
     for name in names:
         await installation.add_backend(
-            name, data_centre=f"dc-{name}", kind=standins.NoisyBackend
+            name, data_centre=f"dc-{name}", backend_class=standins.NoisyBackend
         )
-    await load.play(3.0)
+    await load.run(3.0)
     return sum(bool(installation.backends[name].runs) for name in names) / count
 
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -70,7 +70,7 @@
 
 async def _play(case):
     fleet = _rollout_fleet.Fleet(case)
-    routes = standins.many_routes(case.routes, seed=case.seed)
+    routes = standins.generate_routes(case.routes, seed=case.seed)
     await fleet.start(routes[:1])
     return (
         await fleet.publish(routes),
--- a/boragegw/platform/tests/test_delayed_reports.py
+++ b/boragegw/platform/tests/test_delayed_reports.py
@@ -17,7 +17,7 @@
 class Installation:
     """Processes that know from report 9 that the server ``i-0`` is draining.
 
-    :param world: a started :class:`~boragegw.standins.WireWorld`.
+    :param world: a started :class:`~boragegw.standins.WireInstallation`.
     """
 
     def __init__(self, world):
@@ -26,7 +26,7 @@
 
     @classmethod
     async def start(cls, processes=2, data_centres=("dc-a",)):
-        world = standins.WireWorld()
+        world = standins.WireInstallation()
         await world.start(gateways=processes, data_centres=data_centres)
         await asyncio.sleep(3.0)
         installation = cls(world)
--- a/boragegw/platform/tests/test_documents.py
+++ b/boragegw/platform/tests/test_documents.py
@@ -196,7 +196,7 @@
     """The service of the route /a/ is invalid. Its requests must not match the route /
     instead and be executed by the service of that route.
     """
-    installation = await standins.WireWorld().start()
+    installation = await standins.WireInstallation().start()
     routes = [installation.route("/"), installation.route("/a/", service=5)]
     routes.append(installation.route("/b/", service="nowhere"))
     installation.publish(routes)
--- a/boragegw/platform/tests/test_large_configuration.py
+++ b/boragegw/platform/tests/test_large_configuration.py
@@ -31,7 +31,7 @@
 
 async def start_settled_installation(routes, link):
     """Start one gateway on a fast link and the others on links of ``link`` Mbit/s."""
-    installation = standins.WireWorld()
+    installation = standins.WireInstallation()
     await installation.store.start()
     installation.publish(routes)
     for number in range(3):
@@ -70,11 +70,11 @@
 async def test_watch_is_kept_while_a_large_configuration_arrives():
     """Publications at several times between two heartbeats, which announce them."""
     installation = await start_settled_installation(
-        [standins.WireWorld.route()], USUAL_MBPS
+        [standins.WireInstallation.route()], USUAL_MBPS
     )
     for number in range(PUBLICATIONS):
         await asyncio.sleep(PAUSE_SECONDS)
-        routes = standins.many_routes(ROUTES, seed=number)
+        routes = standins.generate_routes(ROUTES, seed=number)
         installation.publish(routes)
         await asyncio.sleep(PROPAGATION_LIMIT_SECONDS)
         assert (number, outdated_gateways(installation)) == (number, [])
@@ -86,9 +86,9 @@
 
 @in_memory
 async def test_small_change_of_a_large_configuration_arrives_on_slow_links():
-    routes = standins.many_routes(ROUTES)
+    routes = standins.generate_routes(ROUTES)
     installation = await start_settled_installation(routes, SLOW_MBPS)
-    routes += standins.many_routes(1, seed=2)
+    routes += standins.generate_routes(1, seed=2)
     installation.publish(routes)
     await asyncio.sleep(PROPAGATION_LIMIT_SECONDS)
     assert outdated_gateways(installation) == []
@@ -97,7 +97,7 @@
 
 @in_memory
 async def test_process_on_a_slow_link_starts_in_time_with_a_large_configuration():
-    routes = standins.many_routes(ROUTES)
+    routes = standins.generate_routes(ROUTES)
     installation = await start_settled_installation(routes, SLOW_MBPS)
     process = await installation.add_gateway(
         "gw-new", link_mbps=SLOW_MBPS, limited=True
@@ -110,9 +110,9 @@
 @in_memory
 async def test_first_read_has_no_timeout_while_it_arrives():
     """A read that took over a second was aborted and restarted without end."""
-    installation = standins.WireWorld()
+    installation = standins.WireInstallation()
     await installation.store.start()
-    installation.publish(standins.many_routes(ROUTES))
+    installation.publish(standins.generate_routes(ROUTES))
     backend = await installation.add_backend("i-0")
     for number in range(ENTRIES):
         installation.store.put(f"servers/i-x{number}", backend.entry("other"))
@@ -124,9 +124,9 @@
 @in_memory
 async def test_source_that_stalls_during_a_response_is_replaced():
     installation = await start_settled_installation(
-        [standins.WireWorld.route()], USUAL_MBPS
+        [standins.WireInstallation.route()], USUAL_MBPS
     )
-    installation.publish(standins.many_routes(ROUTES))
+    installation.publish(standins.generate_routes(ROUTES))
     await asyncio.sleep(0.2)
     for one, other in installation.network.connections:
         if {one.local[0], one.remote[0]} == {"gw-0", "gw-3"}:
@@ -138,9 +138,9 @@
 @in_memory
 async def test_unknown_route_gets_503_while_the_configuration_is_outdated():
     installation = await start_settled_installation(
-        [standins.WireWorld.route()], TINY_MBPS
+        [standins.WireInstallation.route()], TINY_MBPS
     )
-    routes = standins.many_routes(ROUTES)
+    routes = standins.generate_routes(ROUTES)
     installation.publish(routes)
     await asyncio.sleep(0.7)
     outdated = outdated_gateways(installation)
@@ -157,7 +157,7 @@
 @in_memory
 async def test_lost_connection_to_the_source_causes_no_full_read():
     installation = await start_settled_installation(
-        standins.many_routes(ROUTES), USUAL_MBPS
+        standins.generate_routes(ROUTES), USUAL_MBPS
     )
     counters = installation.processes["gw-0"].board.counters
     before = counters["sources.bytes"]
@@ -170,9 +170,9 @@
 
 @in_memory
 async def test_first_requests_wait_while_the_first_read_arrives():
-    installation = standins.WireWorld()
+    installation = standins.WireInstallation()
     await installation.store.start()
-    routes = standins.many_routes(ROUTES)
+    routes = standins.generate_routes(ROUTES)
     installation.publish(routes)
     await installation.add_backend("i-0")
     await installation.add_gateway("gw-0", link_mbps=2.0, limited=True)
--- a/boragegw/platform/tests/test_load.py
+++ b/boragegw/platform/tests/test_load.py
@@ -10,8 +10,8 @@
 
 
 async def run_load(installation, per_second, seconds=6.0):
-    """Return the :class:`~boragegw.standins.Shares` of callers of the usual route."""
-    usual, _ = await standins.CallerLoad(installation, per_second).play(seconds)
+    """Return the outcome shares of callers of the usual route."""
+    usual, _ = await standins.LoadGenerator(installation, per_second).run(seconds)
     return usual
 
 
@@ -22,7 +22,7 @@
     slots five times as long, so others are refused. When servers in a slow period are
     chosen too, 0.43 of the callers get a response in time; when skipped, 0.66.
     """
-    installation = await standins.noisy_world()
+    installation = await standins.start_noisy_installation()
     callers = await run_load(installation, per_second=240)
     assert callers.in_time > 0.7
     assert callers.late < 0.02
@@ -34,12 +34,12 @@
     servers, to which they have connections, so the new ones, and a new release with
     them, got no requests while the load stayed low.
     """
-    installation = await standins.noisy_world(backends=6, gateways=6)
+    installation = await standins.start_noisy_installation(backends=6, gateways=6)
     await run_load(installation, per_second=30, seconds=3.0)
     for number in range(4):
         name = f"i-new-{number}"
         await installation.add_backend(
-            name, data_centre=f"dc-{number}", kind=standins.NoisyBackend
+            name, data_centre=f"dc-{number}", backend_class=standins.NoisyBackend
         )
     await run_load(installation, per_second=30, seconds=4.0)
     for number in range(4):
@@ -63,7 +63,9 @@
     hedged. A new connection is work for the server too, so the time until its first
     response indicates the current latency.
     """
-    installation = await standins.noisy_world(kind=SilentBackend, route_kind="unsafe")
+    installation = await standins.start_noisy_installation(
+        backend_class=SilentBackend, route_type="unsafe"
+    )
     callers = await run_load(installation, per_second)
     assert callers.in_time > least
 
@@ -80,7 +82,7 @@
     others. When sent to an idle slow server, 38 of 709 requests missed their deadline;
     callers of refused requests can retry on another server.
     """
-    installation = await standins.noisy_world()
+    installation = await standins.start_noisy_installation()
     for name in ("i-0", "i-1"):
         slow_down_permanently(installation.backends[name], 20.0)
     await asyncio.sleep(1.0)
@@ -100,7 +102,7 @@
     of the servers had free slots: 0.22 of them, against 0.05 if servers that were
     recently full are probed after the others.
     """
-    installation = await standins.noisy_world()
+    installation = await standins.start_noisy_installation()
     for name in ("i-0", "i-1", "i-2"):
         installation.backends[name].faults.not_run = 503
         installation.backends[name].faults.not_run_share = 0.55
@@ -115,8 +117,10 @@
     and 0.25 of them, against 0.04 and 0.36 if they are queued longer and served first.
     The other requests must not starve.
     """
-    installation = await standins.noisy_world()
-    load = standins.CallerLoad(installation, per_second=260, urgent_share=1 / 3)
-    usual, urgent = await load.play()
+    installation = await standins.start_noisy_installation()
+    load = standins.LoadGenerator(
+        installation, per_second=260, high_priority_share=1 / 3
+    )
+    usual, urgent = await load.run()
     assert urgent.refused < 0.7 * usual.refused
     assert usual.refused < 0.5
--- a/boragegw/platform/tests/test_metrics.py
+++ b/boragegw/platform/tests/test_metrics.py
@@ -9,7 +9,7 @@
 
 
 async def scrape(installation, name="gw-0"):
-    reply = await installation.ask((name, 7541), "/v1/metrics")
+    reply = await installation.send_request((name, 7541), "/v1/metrics")
     assert reply.headers["content-type"].startswith("text/plain; version=0.0.4")
     text = reply.body.decode()
     return {
@@ -21,7 +21,7 @@
 
 @in_memory
 async def test_scraper_reads_counters_gauges_and_histograms():
-    installation = await standins.WireWorld().start()
+    installation = await standins.WireInstallation().start()
     for number in range(5):
         await installation.call(f"/{number}")
     metrics = await scrape(installation)
@@ -37,7 +37,7 @@
 @in_memory
 async def test_failures_are_counted_by_status():
     """Operators must see which error responses the process generated itself."""
-    installation = await standins.WireWorld().start(kind="unsafe")
+    installation = await standins.WireInstallation().start(route_type="unsafe")
     for backend in installation.backends.values():
         backend.faults.reset_after_run = True
     await installation.call("/pay", "POST", b"1")
@@ -48,8 +48,8 @@
 
 @in_memory
 async def test_other_paths_are_not_found():
-    installation = await standins.WireWorld().start()
-    assert (await installation.ask(("gw-0", 7541), "/")).status == 404
+    installation = await standins.WireInstallation().start()
+    assert (await installation.send_request(("gw-0", 7541), "/")).status == 404
 
 
 @pytest.mark.parametrize(
--- a/boragegw/platform/tests/test_paged_reads.py
+++ b/boragegw/platform/tests/test_paged_reads.py
@@ -21,7 +21,7 @@
     installation = await test_sources.start_store(store, page=PAGE)
     for number in range(KEYS):
         store.put(f"z/{number:03}", b"{}")
-    installation.publish([standins.WireWorld.route()])
+    installation.publish([standins.WireInstallation.route()])
     await installation.add_backend("i-0")
     for number in range(8):
         await installation.add_gateway(f"gw-{number}")
--- a/boragegw/platform/tests/test_recovery.py
+++ b/boragegw/platform/tests/test_recovery.py
@@ -6,12 +6,12 @@
 
 from boragegw import standins
 
-STORE = standins.STORE
+STORE = standins.STORE_ADDRESS
 in_memory = standins.in_memory
 
 
 async def start_installation(**fields):
-    return await standins.WireWorld().start(**fields)
+    return await standins.WireInstallation().start(**fields)
 
 
 async def has_new_configuration(installation, name):
@@ -102,7 +102,7 @@
     payment sent on a dropped connection would be lost without a response. The probe
     before it detects this, and the payment is sent on a working connection.
     """
-    installation = await start_installation(kind="unsafe", gateways=2)
+    installation = await start_installation(route_type="unsafe", gateways=2)
     for number in range(20):
         await installation.call(f"/{number}", "POST", b"1")
     for backend in installation.backends.values():
--- a/boragegw/platform/tests/test_requests.py
+++ b/boragegw/platform/tests/test_requests.py
@@ -10,7 +10,7 @@
 
 
 async def start_installation(**fields):
-    return await standins.WireWorld().start(**fields)
+    return await standins.WireInstallation().start(**fields)
 
 
 @in_memory
@@ -38,13 +38,13 @@
     """The store is down during startup. A 404 would be wrong, as the route may exist:
     the response says that nothing was executed and when to retry.
     """
-    installation = standins.WireWorld()
+    installation = standins.WireInstallation()
     await installation.add_gateway("gw-0")
     await asyncio.sleep(1.0)
     reply = await installation.call("/x")
     assert reply.status == 503
     assert float(reply.headers["retry-after"]) > 0
-    ready = await installation.ask(("gw-0", 8542), "/v1/ready")
+    ready = await installation.send_request(("gw-0", 8542), "/v1/ready")
     assert ready.status == 503
 
 
@@ -53,7 +53,7 @@
     """All processes restart at once and callers arrive before the first read of the
     store has finished. A refusal would use up their last attempt.
     """
-    installation = standins.WireWorld()
+    installation = standins.WireInstallation()
     await installation.store.start()
     installation.publish([installation.route()])
     await installation.add_backend("i-0")
@@ -67,7 +67,7 @@
     """A backend server executes a payment and its connection is reset before the
     response. A retry would pay twice; a 502 says that it may have been executed.
     """
-    installation = await start_installation(kind="unsafe")
+    installation = await start_installation(route_type="unsafe")
     for backend in installation.backends.values():
         backend.faults.reset_after_run = True
     reply = await installation.call("/pay", "POST", b"1")
@@ -88,7 +88,7 @@
     """A full backend server reports that it did not execute a payment. A retry on
     another server is then safe; it must be executed at most once.
     """
-    installation = await start_installation(kind="unsafe")
+    installation = await start_installation(route_type="unsafe")
     first, second, _ = installation.backends.values()
     first.faults.not_run = second.faults.not_run = 503
     replies = [await installation.call(f"/{n}", "POST", b"1") for n in range(5)]
@@ -99,7 +99,7 @@
 
 @in_memory
 async def test_truncated_response_is_not_forwarded_as_complete():
-    installation = await start_installation(kind="unsafe")
+    installation = await start_installation(route_type="unsafe")
     for backend in installation.backends.values():
         backend.faults.truncate = True
     reply = await installation.call("/pay", "POST", b"1")
@@ -136,7 +136,7 @@
 
 @in_memory
 async def test_missing_response_ends_at_the_timeout_of_the_route():
-    installation = await start_installation(kind="unsafe", timeout_s=0.5)
+    installation = await start_installation(route_type="unsafe", timeout_s=0.5)
     for backend in installation.backends.values():
         backend.faults.silent = True
     reply = await installation.call("/pay", "POST", b"1")
@@ -154,7 +154,7 @@
 
 @in_memory
 async def test_draining_server_gets_no_new_requests():
-    installation = await start_installation(kind="unsafe")
+    installation = await start_installation(route_type="unsafe")
     installation.store.put(
         "servers/i-0", installation.backends["i-0"].entry("app", state="draining")
     )
@@ -235,9 +235,9 @@
     process = installation.processes["gw-0"]
     stopping = asyncio.ensure_future(process.stop())
     await asyncio.sleep(0.1)
-    ready = await installation.ask(("gw-0", 8542), "/v1/ready")
+    ready = await installation.send_request(("gw-0", 8542), "/v1/ready")
     assert ready.status == 503
-    resolved = await installation.ask(("gw-1", 8546), "/v1/resolve?zone=dc-a")
+    resolved = await installation.send_request(("gw-1", 8546), "/v1/resolve?zone=dc-a")
     assert b"gw-0" not in resolved.body
     for number in range(30):
         reply = await installation.call(f"/{number}")
@@ -272,7 +272,7 @@
 @in_memory
 async def test_downloads_are_served_from_the_local_data_centre():
     installation = await start_installation(
-        backends=6, data_centres=("dc-a", "dc-b"), kind="download"
+        backends=6, data_centres=("dc-a", "dc-b"), route_type="download"
     )
     for number in range(20):
         assert (await installation.call(f"/{number}")).status == 200
@@ -285,7 +285,7 @@
     """A leaving server fails its health check. With the probe budget exhausted it was
     the only server probed, and it got the request two seconds after it had left.
     """
-    installation = await start_installation(backends=4, kind="unsafe")
+    installation = await start_installation(backends=4, route_type="unsafe")
     installation.backends["i-0"].faults.healthy = False
     process = installation.processes["gw-0"]
     process.forwarder.service_state("app").probe_budget = balancing.ProbeBudget(
@@ -303,7 +303,7 @@
     """Given a request ID, the log must show why the request was late or failed: which
     servers were chosen, by which load report, when, and how each attempt ended.
     """
-    installation = await start_installation(kind="unsafe", backends=2)
+    installation = await start_installation(route_type="unsafe", backends=2)
     events = []
     log = installation.processes["gw-0"].log
     log.event = lambda kind, **fields: events.append((kind, fields))
--- a/boragegw/platform/tests/test_slow_sources.py
+++ b/boragegw/platform/tests/test_slow_sources.py
@@ -36,7 +36,7 @@
     process = installation.processes["gw-1"]
     events = []
     record_events(process, events)
-    installation.publish(standins.many_routes(1300))
+    installation.publish(standins.generate_routes(1300))
     await asyncio.sleep(0.3)
     assert test_large_configuration.outdated_gateways(installation) == ["gw-1", "gw-2"]
     installation.network.set_link("store", 1.0)
@@ -56,7 +56,7 @@
 async def test_third_source_is_asked_if_the_second_one_fails(monkeypatch):
     """The store fails briefly when it is asked in parallel to a slow source."""
     installation = await test_sources.start_with_slow_source(monkeypatch)
-    installation.publish(standins.many_routes(1300))
+    installation.publish(standins.generate_routes(1300))
     await asyncio.sleep(0.3)
     assert test_large_configuration.outdated_gateways(installation) == ["gw-1", "gw-2"]
     installation.store.status = 503
@@ -70,7 +70,7 @@
 async def test_followers_on_slow_links_do_not_all_read_the_store():
     """The links of the followers are saturated: a second response would delay both."""
     installation = await test_sources.start_store()
-    installation.publish([standins.WireWorld.route()])
+    installation.publish([standins.WireInstallation.route()])
     await installation.add_backend("i-0")
     for number in range(30):
         rate = 200.0 if number == 0 else 1.0
@@ -78,7 +78,7 @@
     await asyncio.sleep(10.0)
     assert test_large_configuration.outdated_gateways(installation) == []
     before = installation.store.calls
-    installation.publish(standins.many_routes(13000))
+    installation.publish(standins.generate_routes(13000))
     await asyncio.sleep(20.0)
     calls = installation.store.calls - before
     late = len(test_large_configuration.outdated_gateways(installation))
@@ -99,7 +99,7 @@
             return gateway.EndpointResponse(410)
 
     installation = await test_sources.start_store(StoreWithoutHistory(("store", 1)))
-    installation.publish([standins.WireWorld.route()])
+    installation.publish([standins.WireInstallation.route()])
     process = await installation.add_gateway("gw-0")
     events = []
     record_events(process, events)
@@ -111,7 +111,7 @@
 @in_memory
 async def test_outdated_read_does_not_replace_a_required_full_one():
     """After a broken watch of the store, only a full read shows what it missed."""
-    installation = await standins.WireWorld().start(gateways=2)
+    installation = await standins.WireInstallation().start(gateways=2)
     await asyncio.sleep(5.0)
     root = next(
         n for n, p in installation.processes.items() if p.local_member.watches_store
@@ -153,7 +153,7 @@
     installation = await test_sources.start_store(store, page=50)
     for number in range(3000):
         store.put(f"a/{number}", b"{}")
-    installation.publish([standins.WireWorld.route()])
+    installation.publish([standins.WireInstallation.route()])
     process = await installation.add_gateway("gw-0")
     await asyncio.sleep(0.6)
     calls = [
@@ -162,7 +162,7 @@
     ]
     await asyncio.sleep(0.5)
     for near, _ in installation.network.connections:
-        if near.remote == ("gw-0", _wire_world.FRONT_PORT) and not near.is_lost():
+        if near.remote == ("gw-0", _wire_world.CALLER_PORT) and not near.is_lost():
             near.abort()
     await asyncio.sleep(2.0)
     assert all(call.done() for call in calls)
@@ -190,7 +190,7 @@
 @in_memory
 async def test_change_missing_at_the_store_is_read_from_peers_that_have_it():
     """Two of three data centres kept asking a store that served only the third."""
-    installation = await standins.WireWorld().start(
+    installation = await standins.WireInstallation().start(
         gateways=18, data_centres=("dc-a", "dc-b", "dc-c")
     )
     await asyncio.sleep(20.0)
@@ -214,7 +214,7 @@
 @in_memory
 async def test_delayed_entry_of_a_retained_server_is_not_replicated():
     """The draining entry expires in a store outage; then an older report arrives."""
-    installation = await standins.WireWorld().start(gateways=2)
+    installation = await standins.WireInstallation().start(gateways=2)
     await asyncio.sleep(3.0)
     leaving = installation.backends["i-0"]
     installation.store.put("servers/i-0", leaving.entry("app", state="draining", seq=9))
--- a/boragegw/platform/tests/test_sources.py
+++ b/boragegw/platform/tests/test_sources.py
@@ -30,7 +30,7 @@
 
 
 async def start_store(store=None, page=500):
-    installation = standins.WireWorld()
+    installation = standins.WireInstallation()
     if store is not None:
         installation.store = store
     installation.store.page = page
@@ -71,7 +71,7 @@
     """The root reads a change between two pages; then the store becomes unreachable."""
     store = SlowStore(("store", 1))
     installation = await start_store(store)
-    installation.publish([standins.WireWorld.route()])
+    installation.publish([standins.WireInstallation.route()])
     await installation.add_backend("i-0")
     for number in range(3):
         await installation.add_gateway(f"gw-{number}")
@@ -160,7 +160,7 @@
 @in_memory
 async def test_process_returns_404_again_soon_after_its_source_failed():
     """The failure was counted until the next watch ended, 20 s without a change."""
-    installation = await standins.WireWorld().start(gateways=3)
+    installation = await standins.WireInstallation().start(gateways=3)
     await asyncio.sleep(60.0)
     root = next(n for n, p in _processes(installation) if p.local_member.watches_store)
     name = next(n for n, p in _processes(installation) if n != root)
@@ -177,7 +177,7 @@
 @in_memory
 async def test_single_other_process_soon_watches_the_store_after_a_loss():
     """An earlier watch lasts 20 s; the role of its source is known only at its end."""
-    installation = await standins.WireWorld().start(gateways=30)
+    installation = await standins.WireInstallation().start(gateways=30)
     await asyncio.sleep(60.0)
     root = next(n for n, p in _processes(installation) if p.local_member.watches_store)
     for name in installation.processes:
@@ -195,7 +195,7 @@
 
 @in_memory
 async def test_single_failures_of_a_peer_and_the_store_are_no_store_outage():
-    installation = await standins.WireWorld().start(gateways=3)
+    installation = await standins.WireInstallation().start(gateways=3)
     await asyncio.sleep(60.0)
     root = next(n for n, p in _processes(installation) if p.local_member.watches_store)
     name = next(n for n, p in _processes(installation) if n != root)
@@ -223,7 +223,7 @@
     store = SlowStore(("store", 1))
     store.failing = 10
     installation = await start_store(store, page=50)
-    installation.publish([standins.WireWorld.route()])
+    installation.publish([standins.WireInstallation.route()])
     backend = await installation.add_backend("i-0")
     for number in range(600):
         store.put(f"servers/i-x{number}", backend.entry("other"))
@@ -237,7 +237,7 @@
     monkeypatch.setattr(_links, "SEGMENT", 256)
     monkeypatch.setattr(_links, "WINDOW", 1024)
     installation = await start_store()
-    installation.publish([standins.WireWorld.route()])
+    installation.publish([standins.WireInstallation.route()])
     await installation.add_backend("i-0")
     for number in range(3):
         rate = 200.0 if number == 0 else 100.0
@@ -252,7 +252,7 @@
 @in_memory
 async def test_very_slow_source_is_replaced_by_a_complete_one(monkeypatch):
     installation = await start_with_slow_source(monkeypatch)
-    installation.publish(standins.many_routes(1300))
+    installation.publish(standins.generate_routes(1300))
     await asyncio.sleep(20.0)
     assert test_large_configuration.outdated_gateways(installation) == []
 
@@ -264,7 +264,7 @@
     installation = await start_store(store, page=50)
     for number in range(300):
         store.put(f"a/{number}", b"{}")
-    installation.publish([standins.WireWorld.route()])
+    installation.publish([standins.WireInstallation.route()])
     await installation.add_backend("i-0")
     await installation.add_gateway("gw-0")
     await asyncio.sleep(0.6)
@@ -277,7 +277,7 @@
     """Only the link of the store is slow, not that of the process."""
     installation = await start_store()
     installation.network.set_link("store", 2.0)
-    installation.publish(standins.many_routes(1300))
+    installation.publish(standins.generate_routes(1300))
     await installation.add_gateway("gw-0")
     await asyncio.sleep(0.5)
     reply = await installation.call(x_deadline_ms="800")
@@ -288,7 +288,7 @@
 @in_memory
 async def test_peers_of_another_version_cause_few_store_calls():
     """During a rolling upgrade, the previous version lacks ``/v1/replica``."""
-    installation = await standins.WireWorld().start(gateways=12)
+    installation = await standins.WireInstallation().start(gateways=12)
     await asyncio.sleep(20.0)
     root = next(n for n, p in _processes(installation) if p.local_member.watches_store)
 
@@ -322,7 +322,7 @@
 
     store = RestoredStore(("store", 1))
     installation = await start_store(store)
-    installation.publish([standins.WireWorld.route()])
+    installation.publish([standins.WireInstallation.route()])
     for number in range(30):
         store.put("op/other", {"x": number})
     await installation.add_gateway("gw-0")
--- a/boragegw/platform/tests/test_stalled_answers.py
+++ b/boragegw/platform/tests/test_stalled_answers.py
@@ -18,7 +18,9 @@
 
 async def start(mbps=10.0, timeout_s=60.0, kind="download"):
     """Start an installation whose backend servers send large responses."""
-    installation = await standins.WireWorld().start(kind=kind, timeout_s=timeout_s)
+    installation = await standins.WireInstallation().start(
+        route_type=kind, timeout_s=timeout_s
+    )
     for backend in installation.backends.values():
         backend.body = b"x" * BODY_BYTES
         installation.network.set_link(backend.address[0], mbps)
--- a/boragegw/platform/tests/test_store_updates.py
+++ b/boragegw/platform/tests/test_store_updates.py
@@ -4,12 +4,12 @@
 
 from boragegw import standins
 
-STORE = standins.STORE
+STORE = standins.STORE_ADDRESS
 in_memory = standins.in_memory
 
 
 async def start_installation(**fields):
-    return await standins.WireWorld().start(**fields)
+    return await standins.WireInstallation().start(**fields)
 
 
 @in_memory
@@ -42,7 +42,7 @@
     """A backend server reports that it is draining; then a delayed older report
     overwrites the entry. The server must not get new requests again.
     """
-    installation = await start_installation(kind="unsafe")
+    installation = await start_installation(route_type="unsafe")
     leaving = installation.backends["i-0"]
     installation.store.put("servers/i-0", leaving.entry("app", state="draining", seq=9))
     installation.store.put("servers/i-0", leaving.entry("app", seq=8))
@@ -55,9 +55,9 @@
 @in_memory
 async def test_delayed_entry_is_not_replicated_instead_of_the_newer_one():
     """Followers of the process that watches the store get both reports at once."""
-    installation = await start_installation(gateways=3, kind="unsafe")
+    installation = await start_installation(gateways=3, route_type="unsafe")
     await asyncio.sleep(3.0)
-    installation.publish([installation.route(kind="unsafe")])
+    installation.publish([installation.route(route_type="unsafe")])
     await asyncio.sleep(0.1)
     leaving = installation.backends["i-0"]
     installation.store.put("servers/i-0", leaving.entry("app", state="draining", seq=9))
@@ -80,7 +80,7 @@
 
 @in_memory
 async def test_paged_store_is_read_completely():
-    installation = standins.WireWorld()
+    installation = standins.WireInstallation()
     installation.store.page = 2
     await installation.start(backends=7)
     assert len(installation.processes["gw-0"].board.servers) == 7
@@ -94,7 +94,7 @@
     left its source every 0.4 s, each time just before the response of the store, and
     served the old configuration for eight seconds.
     """
-    installation = standins.WireWorld()
+    installation = standins.WireInstallation()
     await installation.start(gateways=2, data_centres=("dc-a", "dc-b"))
     await asyncio.sleep(3.0)
     installation.network.delay = 0.04
@@ -188,7 +188,7 @@
     that it is the one to read the store: in a fleet of a hundred, all of them did.
     Calls to the store are limited and priced.
     """
-    installation = standins.WireWorld()
+    installation = standins.WireInstallation()
     await installation.store.start()
     installation.publish([installation.route()])
     await installation.add_backend("i-0")
@@ -204,7 +204,7 @@
     """One VM has a fast link and the others have 5 Mbit/s: a watcher on a slow link
     delayed the others, and they all called the store themselves.
     """
-    installation = standins.WireWorld()
+    installation = standins.WireInstallation()
     await installation.store.start()
     installation.publish([installation.route()])
     for number in range(6):
--- a/boragegw/platform/tests/test_time_limits.py
+++ b/boragegw/platform/tests/test_time_limits.py
@@ -16,7 +16,7 @@
     client = gateway.UpstreamConnection(installation.loop.time)
     await installation.loop.create_connection(lambda: client, *FRONT_ADDRESS)
     headers = {"x-request-id": "slow", "x-deadline-ms": str(deadline_ms)}
-    raw_request = standins.request_bytes("/up", "POST", body, headers)
+    raw_request = standins.encode_request("/up", "POST", body, headers)
     start = len(raw_request) - len(body)
     waiting = client.start(raw_request[:start], lambda _: True)
     step = len(body) // 10
@@ -31,7 +31,9 @@
 
 async def start_slow_downloads(mbps):
     """Start an installation whose backend servers send large responses slowly."""
-    installation = await standins.WireWorld().start(kind="download", timeout_s=2.0)
+    installation = await standins.WireInstallation().start(
+        route_type="download", timeout_s=2.0
+    )
     for backend in installation.backends.values():
         backend.body = b"x" * LARGE_BODY_BYTES
         installation.network.set_link(backend.address[0], mbps)
@@ -41,7 +43,7 @@
 @in_memory
 async def test_resets_after_slow_connects_do_not_quarantine_a_request():
     """Resets while connects took 0.3 s quarantined a request for a minute."""
-    installation = await standins.WireWorld().start(kind="unsafe")
+    installation = await standins.WireInstallation().start(route_type="unsafe")
     await asyncio.gather(*(installation.call(f"/{n}", "POST") for n in range(30)))
     connect_at_once = installation.network.connect
 
@@ -66,14 +68,14 @@
 @in_memory
 async def test_slow_upload_is_not_hedged_as_soon_as_it_is_complete():
     """A body that took 0.6 s to arrive was sent to two backend servers at once."""
-    installation = await standins.WireWorld().start()
+    installation = await standins.WireInstallation().start()
     assert await upload(installation, b"x" * 60_000, 0.6, 10_000) == 200
     assert len(installation.runs("/up")) == 1
 
 
 @in_memory
 async def test_slow_upload_is_hedged_when_its_server_is_silent():
-    installation = await standins.WireWorld().start()
+    installation = await standins.WireInstallation().start()
     sending = asyncio.create_task(upload(installation, b"x" * 60_000, 0.6, 10_000))
     await asyncio.sleep(0.62)
     (silent,) = [b for b in installation.backends.values() if b.runs]
@@ -107,7 +109,7 @@
 @in_memory
 async def test_slow_upload_may_still_be_queued():
     """Its queue time ran from its first byte, so it was refused at once."""
-    installation = await standins.WireWorld().start(kind="unsafe")
+    installation = await standins.WireInstallation().start(route_type="unsafe")
     for backend in installation.backends.values():
         backend.load = "6,0,6,100"
     started = installation.loop.time()
@@ -138,7 +140,7 @@
 @in_memory
 async def test_disconnect_during_a_stalled_response_is_detected():
     """Only further bytes woke the request, which held its connection to the server."""
-    installation = await standins.WireWorld().start(kind="download")
+    installation = await standins.WireInstallation().start(route_type="download")
     for backend in installation.backends.values():
         backend.body = b"x" * 1_000_000
         installation.network.set_link(backend.address[0], 10.0)
--- a/boragegw/platform/tests/test_uploads.py
+++ b/boragegw/platform/tests/test_uploads.py
@@ -32,7 +32,9 @@
 @in_memory
 async def test_queue_time_of_an_upload_starts_when_it_is_complete(seconds, kind):
     """Its queue time ended before it had arrived: 503 although a slot was free."""
-    installation = await standins.WireWorld().start(kind=kind, timeout_s=5.0)
+    installation = await standins.WireInstallation().start(
+        route_type=kind, timeout_s=5.0
+    )
     report_load(installation, FULL_LOAD)
     sending = upload(installation, seconds)
     await asyncio.sleep(seconds + 0.02)
@@ -44,7 +46,9 @@
 @pytest.mark.parametrize("seconds", [0.1, 0.3, 0.9, 1.5])
 @in_memory
 async def test_upload_without_free_slots_is_refused_soon_and_not_executed(seconds):
-    installation = await standins.WireWorld().start(kind="unsafe", timeout_s=5.0)
+    installation = await standins.WireInstallation().start(
+        route_type="unsafe", timeout_s=5.0
+    )
     report_load(installation, FULL_LOAD)
     started = installation.loop.time()
     assert await upload(installation, seconds) == 503
@@ -56,7 +60,7 @@
 @in_memory
 async def test_upload_that_is_not_read_is_logged():
     """Without the log line, nothing shows why a caller got status 503."""
-    installation = await standins.WireWorld().start(kind="unsafe")
+    installation = await standins.WireInstallation().start(route_type="unsafe")
     process = installation.processes["gw-0"]
     process.body_memory.limit = 100
     lines = []
@@ -73,7 +77,9 @@
 @in_memory
 async def test_queue_time_of_a_pipelined_request_starts_at_its_turn():
     """Its queue time ran while the previous request of the connection was served."""
-    installation = await standins.WireWorld().start(kind="unsafe", timeout_s=5.0)
+    installation = await standins.WireInstallation().start(
+        route_type="unsafe", timeout_s=5.0
+    )
     for backend in installation.backends.values():
         backend.work = 0.5
     reader = _ResponseCollector()
@@ -83,7 +89,7 @@
     )
     for path in ("/first", "/second"):
         fields = {"x-request-id": path, "x-deadline-ms": "10000"}
-        transport.write(standins.request_bytes(path, "POST", b"1", fields))
+        transport.write(standins.encode_request(path, "POST", b"1", fields))
     await asyncio.sleep(0.3)
     report_load(installation, FULL_LOAD)
     await asyncio.sleep(0.24)
@@ -100,7 +106,7 @@
     installation = await test_sources.start_store(store, page=50)
     for number in range(400):
         store.put(f"a/{number}", b"{}")
-    installation.publish([installation.route(kind="unsafe", timeout_s=5.0)])
+    installation.publish([installation.route(route_type="unsafe", timeout_s=5.0)])
     await installation.add_backend("i-0")
     process = await installation.add_gateway("gw-0")
     ends = {}
--- a/boragegw/standins/__init__.py
+++ b/boragegw/standins/__init__.py
@@ -5,7 +5,7 @@
 from boragegw.standins._fleet import LocalFleet
 from boragegw.standins._history import AnswerEvent, violations
 from boragegw.standins._memory_network import (
-    HOST,
+    CURRENT_HOST,
     MemoryLoop,
     in_memory,
     run_in_memory,
@@ -20,31 +20,40 @@
 )
 from boragegw.standins._virtual_transport import VirtualTransport
 from boragegw.standins._wire_backend import WireBackend, WireFaults
-from boragegw.standins._wire_load import CallerLoad, Shares, noisy_world
+from boragegw.standins._wire_load import (
+    LoadGenerator,
+    OutcomeShares,
+    start_noisy_installation,
+)
 from boragegw.standins._wire_noise import NoisyBackend
-from boragegw.standins._wire_routes import many_routes
+from boragegw.standins._wire_routes import generate_routes
 from boragegw.standins._wire_store import WireStore
-from boragegw.standins._wire_world import PEER_PORT, STORE, WireWorld, request_bytes
+from boragegw.standins._wire_world import (
+    PEER_PORT,
+    STORE_ADDRESS,
+    WireInstallation,
+    encode_request,
+)
 
 __all__ = [
-    "HOST",
+    "CURRENT_HOST",
     "PEER_PORT",
-    "STORE",
+    "STORE_ADDRESS",
     "in_memory",
-    "many_routes",
-    "noisy_world",
+    "generate_routes",
+    "start_noisy_installation",
     "AnswerEvent",
     "BackendFaults",
     "Caller",
     "CallerAnswer",
-    "CallerLoad",
+    "LoadGenerator",
     "LocalFleet",
     "MemoryLoop",
     "NoisyBackend",
     "PublishedState",
     "RunEvent",
     "ServiceShape",
-    "Shares",
+    "OutcomeShares",
     "StandinBackend",
     "StandinPlatform",
     "VirtualBackend",
@@ -57,8 +66,8 @@
     "WireBackend",
     "WireFaults",
     "WireStore",
-    "WireWorld",
-    "request_bytes",
+    "WireInstallation",
+    "encode_request",
     "run_in_memory",
     "violations",
 ]
--- a/boragegw/standins/_memory_network.py
+++ b/boragegw/standins/_memory_network.py
@@ -16,7 +16,7 @@
 #: Seconds one way between any two addresses.
 DELAY = 0.0005
 #: Host on which the running code is taken to run; tasks inherit it.
-HOST = contextvars.ContextVar("host", default="caller")
+CURRENT_HOST = contextvars.ContextVar("host", default="caller")
 
 
 class MemoryTransport(asyncio.Transport):
@@ -32,7 +32,7 @@
         self.silent = False
         # What arrives runs as code of this end's host, not of the sender's.
         self.context = contextvars.copy_context()
-        self.context.run(HOST.set, local[0])
+        self.context.run(CURRENT_HOST.set, local[0])
         self._closing = False
         self._lost = False
         self._paused = False
@@ -267,7 +267,7 @@
     """A virtual time loop whose sockets are in memory.
 
     The host that opens a connection is the one named by the running task's context,
-    see :data:`HOST`.
+    see :data:`CURRENT_HOST`.
     """
 
     def __init__(self):
@@ -277,7 +277,7 @@
     async def create_connection(self, protocol_factory, host=None, port=None, **_):
         """Open a connection in memory."""
         target = (host, port)
-        return await self.network.connect(protocol_factory, HOST.get(), target)
+        return await self.network.connect(protocol_factory, CURRENT_HOST.get(), target)
 
     async def create_server(self, protocol_factory, host=None, port=None, **_):
         """Listen in memory."""
--- a/boragegw/standins/_wire_load.py
+++ b/boragegw/standins/_wire_load.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shares:
+class OutcomeShares:
     """Shares of the callers that were answered in time, late, and not at all."""
 
     in_time: float
@@ -25,31 +25,33 @@
     refused: float
 
 
-async def noisy_world(
+async def start_noisy_installation(
     backends=6,
     gateways=4,
-    kind=_wire_noise.NoisyBackend,
-    route_kind="safe",
+    backend_class=_wire_noise.NoisyBackend,
+    route_type="safe",
     seed=1,
     policies=None,
 ):
     """Return a settled installation of backend servers with noisy neighbours.
 
-    :param kind: class of the backend servers.
-    :param route_kind: of the usual route; the more urgent one is ``safe``.
+    :param backend_class: class of the backend servers.
+    :param route_type: of the usual route; the more urgent one is ``safe``.
     :param policies: see :class:`~boragegw.balancing.PolicySettings`.
     """
-    installation = _wire_world.WireWorld(seed)
+    installation = _wire_world.WireInstallation(seed)
     await installation.store.start()
     route = installation.route
     installation.publish(
         [
-            route("/", route_kind, target_latency_s=TARGET, priority=2),
+            route("/", route_type, target_latency_s=TARGET, priority=2),
             route(f"/{URGENT}", target_latency_s=TARGET, priority=1),
         ]
     )
     for number in range(backends):
-        backend = await installation.add_backend(f"i-{number}", kind=kind)
+        backend = await installation.add_backend(
+            f"i-{number}", backend_class=backend_class
+        )
         backend.random_state.seed(f"{seed} {number}")
     for number in range(gateways):
         await installation.add_gateway(f"gw-{number}", policies=policies or {})
@@ -57,22 +59,22 @@
     return installation
 
 
-class CallerLoad:
+class LoadGenerator:
     """Callers that come at random and ask once more elsewhere if told to come back.
 
-    :param installation: a :class:`WireWorld`.
+    :param installation: a :class:`WireInstallation`.
     :param per_second: callers a second.
-    :param urgent_share: share of them on the more urgent route.
+    :param high_priority_share: share of them on the more urgent route.
     """
 
-    def __init__(self, installation, per_second, urgent_share=0.0, seed=7):
+    def __init__(self, installation, per_second, high_priority_share=0.0, seed=7):
         self.installation = installation
         self.per_second = per_second
-        self.urgent_share = urgent_share
+        self.high_priority_share = high_priority_share
         self.random_state = random.Random(seed)
 
-    async def play(self, seconds=6.0):
-        """Return the :class:`Shares` of the usual callers and of the urgent ones."""
+    async def run(self, seconds=6.0):
+        """Return the :class:`OutcomeShares` of normal and of high priority."""
         usual, urgent = [], []
         for number in range(int(self.per_second * seconds)):
             await asyncio.sleep(self.random_state.expovariate(self.per_second))
@@ -80,12 +82,14 @@
             path = f"/{URGENT if is_urgent else ''}{number}"
             task = asyncio.create_task(self._call(path))
             (urgent if is_urgent else usual).append(task)
-        return shares_of(await asyncio.gather(*usual)), shares_of(
+        return outcome_shares(await asyncio.gather(*usual)), outcome_shares(
             await asyncio.gather(*urgent)
         )
 
     def _is_urgent(self, number):
-        return int((number + 1) * self.urgent_share) > int(number * self.urgent_share)
+        return int((number + 1) * self.high_priority_share) > int(
+            number * self.high_priority_share
+        )
 
     async def _call(self, path):
         """Return the seconds until the answer, or ``None``."""
@@ -101,9 +105,9 @@
         return None
 
 
-def shares_of(times):
-    """Return the :class:`Shares` of callers by the seconds until their answers."""
+def outcome_shares(times):
+    """Return the :class:`OutcomeShares` of callers with these response times."""
     count = max(1, len(times))
     in_time = sum(time is not None and time <= TARGET for time in times) / count
     refused = sum(time is None for time in times) / count
-    return Shares(in_time, 1.0 - in_time - refused if times else 0.0, refused)
+    return OutcomeShares(in_time, 1.0 - in_time - refused if times else 0.0, refused)
--- a/boragegw/standins/_wire_routes.py
+++ b/boragegw/standins/_wire_routes.py
@@ -4,7 +4,7 @@
 import string
 
 
-def many_routes(count, seed=1, service="app"):
+def generate_routes(count, seed=1, service="app"):
     """Return ``count`` routes with random hosts and prefixes, 0.3 KB of JSON each."""
     random_state = random.Random(seed)
 
--- a/boragegw/standins/_wire_world.py
+++ b/boragegw/standins/_wire_world.py
@@ -8,8 +8,8 @@
 from boragegw import gateway, platform
 from boragegw.standins import _memory_network, _wire_backend, _wire_store
 
-STORE = ("store", 1)
-FRONT_PORT = 8548
+STORE_ADDRESS = ("store", 1)
+CALLER_PORT = 8548
 DIRECTORY_PORT = 8546
 READY_PORT = 8542
 CONTROL_PORT = 8544
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Reply:
+class Response:
     """What a caller got; ``status`` is 0 for a connection that ended without."""
 
     status: int
@@ -28,7 +28,7 @@
     seconds: float
 
 
-class WireWorld:
+class WireInstallation:
     """A small installation in memory.
 
     :param seed: seeds every process.
@@ -40,7 +40,7 @@
         self.seed = seed
         self.loop = asyncio.get_running_loop()
         self.network = self.loop.network
-        self.store = _wire_store.WireStore(STORE)
+        self.store = _wire_store.WireStore(STORE_ADDRESS)
         self.processes = {}
         self.backends = {}
         self.version = 0
@@ -62,13 +62,13 @@
     # Configuration.
 
     @staticmethod
-    def route(prefix="/", kind="safe", service="app", timeout_s=2.0, **fields):
+    def route(prefix="/", route_type="safe", service="app", timeout_s=2.0, **fields):
         """Return a route as operators publish it."""
         return {
             "name": f"route {prefix}",
             "host": HOST_NAME,
             "prefix": prefix,
-            "route_type": kind,
+            "route_type": route_type,
             "timeout_s": timeout_s,
             "target_latency_s": 0.5,
             "priority": 1,
@@ -100,11 +100,11 @@
         identity,
         service="app",
         data_centre="dc-a",
-        kind=_wire_backend.WireBackend,
+        backend_class=_wire_backend.WireBackend,
         **fields,
     ):
-        """Start a backend server of class ``kind`` and list it."""
-        backend = kind(identity, (f"host-{identity}", 9000))
+        """Start a backend server of class ``backend_class`` and list it."""
+        backend = backend_class(identity, (f"host-{identity}", 9000))
         await backend.start()
         self.backends[identity] = backend
         entry = backend.entry(service, data_centre, **fields)
@@ -123,12 +123,12 @@
             gateway=gateway.GatewaySettings(
                 name=name,
                 data_centre=data_centre,
-                caller_address=(name, FRONT_PORT),
+                caller_address=(name, CALLER_PORT),
                 peer_address=(name, PEER_PORT),
                 seeds=tuple(seeds),
                 **fields,
             ),
-            store=STORE,
+            store=STORE_ADDRESS,
             ready=(name, READY_PORT),
             directory=(name, DIRECTORY_PORT),
             control=(name, CONTROL_PORT),
@@ -140,7 +140,7 @@
         return await asyncio.create_task(self._start_gateway(settings))
 
     async def _start_gateway(self, settings):
-        _memory_network.HOST.set(settings.gateway.name)
+        _memory_network.CURRENT_HOST.set(settings.gateway.name)
         log = gateway.EventLog(
             settings.gateway.name, self.loop.time, os.open(os.devnull, os.O_WRONLY)
         )
@@ -154,20 +154,20 @@
     # Callers.
 
     async def call(self, path="/x", method="GET", body=b"", to="gw-0", **fields):
-        """Send one request as a caller does and return its :class:`Reply`."""
+        """Send one request as a caller does and return its :class:`Response`."""
         self._ids += 1
         headers = {"x-request-id": f"id-{self._ids}", "x-deadline-ms": "1500"}
         headers.update({k.replace("_", "-"): v for k, v in fields.items()})
-        return await self.ask((to, FRONT_PORT), path, method, body, headers)
+        return await self.send_request((to, CALLER_PORT), path, method, body, headers)
 
-    async def ask(self, address, path, method="GET", body=b"", headers=None):
+    async def send_request(self, address, path, method="GET", body=b"", headers=None):
         """Send one request to any address."""
         started = self.loop.time()
         client = gateway.UpstreamConnection(self.loop.time)
         try:
             await self.loop.create_connection(lambda: client, *address)
             answer = await client.start(
-                request_bytes(path, method, body, headers or {}), lambda _: True
+                encode_request(path, method, body, headers or {}), lambda _: True
             )
             received = b""
             while not (answer.complete and not answer.body):
@@ -177,9 +177,9 @@
                 if not answer.complete:
                     await answer.changed()
         except (gateway.ExchangeError, OSError):
-            return Reply(0, {}, b"", self.loop.time() - started)
+            return Response(0, {}, b"", self.loop.time() - started)
         found = {k.decode(): v.decode() for k, v in answer.headers}
-        return Reply(answer.status, found, received, self.loop.time() - started)
+        return Response(answer.status, found, received, self.loop.time() - started)
 
     def runs(self, path=None):
         """Return the (id, target, body) of every run on any backend server."""
@@ -187,7 +187,7 @@
         return [run for run in runs if path is None or run[1].decode() == path]
 
 
-def request_bytes(path, method="GET", body=b"", headers=None, host=HOST_NAME):
+def encode_request(path, method="GET", body=b"", headers=None, host=HOST_NAME):
     """Return the bytes of a request."""
     headers = {"host": host, **(headers or {})}
     lines = [f"{method} {path} HTTP/1.1"]
--- a/boragegw/standins/tests/test_links.py
+++ b/boragegw/standins/tests/test_links.py
@@ -57,7 +57,7 @@
     loop = asyncio.get_running_loop()
     await loop.create_server(lambda: Sender(data), "there", 1)
     for receiver in receivers:
-        standins.HOST.set(to)
+        standins.CURRENT_HOST.set(to)
         await loop.create_connection(lambda r=receiver: r, "there", 1)
     return loop.time()
 
