--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -34,7 +34,7 @@
     joined: int = 0
 
 
-SHEDDING = {"not_run": 503, "not_run_share": 0.55}
+SHEDDING = {"not_executed_status": 503, "not_executed_share": 0.55}
 SCENARIOS = (
     Scenario("usual", 100),
     Scenario("burst", 240),
@@ -50,7 +50,7 @@
     """A backend server with noisy neighbours that tells no load."""
 
     def __init__(self, identity, address):
-        super().__init__(identity, address, silent=True)
+        super().__init__(identity, address, omit_load_reports=True)
 
 
 def play(job):
--- a/boragegw/platform/tests/test_delayed_reports.py
+++ b/boragegw/platform/tests/test_delayed_reports.py
@@ -60,7 +60,7 @@
             if address[0] == name:
                 del self.world.network.listeners[address]
         process.membership._transport.close()
-        self.world.network.silence(name)
+        self.world.network.blackhole_connections(name)
         await asyncio.sleep(4.0)
 
     def draining(self):
--- a/boragegw/platform/tests/test_large_configuration.py
+++ b/boragegw/platform/tests/test_large_configuration.py
@@ -130,7 +130,7 @@
     await asyncio.sleep(0.2)
     for one, other in installation.network.connections:
         if {one.local[0], one.remote[0]} == {"gw-0", "gw-3"}:
-            one.silent = other.silent = True
+            one.blackholed = other.blackholed = True
     await asyncio.sleep(PROPAGATION_LIMIT_SECONDS)
     assert outdated_gateways(installation) == []
 
--- a/boragegw/platform/tests/test_load.py
+++ b/boragegw/platform/tests/test_load.py
@@ -50,7 +50,7 @@
     """A backend server with noisy neighbours that sends no load reports."""
 
     def __init__(self, identity, address):
-        super().__init__(identity, address, silent=True)
+        super().__init__(identity, address, omit_load_reports=True)
 
 
 @in_memory
@@ -72,8 +72,8 @@
 
 def slow_down_permanently(backend, factor):
     """Make ``backend`` slower by ``factor`` from now on."""
-    backend.noise_share = 1.0
-    backend.noise_factor = factor
+    backend.slow_period_share = 1.0
+    backend.slow_period_factor = factor
 
 
 @in_memory
@@ -104,8 +104,8 @@
     """
     installation = await standins.start_noisy_installation()
     for name in ("i-0", "i-1", "i-2"):
-        installation.backends[name].faults.not_run = 503
-        installation.backends[name].faults.not_run_share = 0.55
+        installation.backends[name].faults.not_executed_status = 503
+        installation.backends[name].faults.not_executed_share = 0.55
     callers = await run_load(installation, per_second=120)
     assert callers.refused < 0.1
 
--- a/boragegw/platform/tests/test_recovery.py
+++ b/boragegw/platform/tests/test_recovery.py
@@ -106,8 +106,8 @@
     for number in range(20):
         await installation.call(f"/{number}", "POST", b"1")
     for backend in installation.backends.values():
-        installation.network.silence(backend.address[0])
-    installation.network.silence("store")
+        installation.network.blackhole_connections(backend.address[0])
+    installation.network.blackhole_connections("store")
     for number in range(20, 40):
         reply = await installation.call(f"/{number}", "POST", b"1")
         assert reply.status == 200
--- a/boragegw/platform/tests/test_requests.py
+++ b/boragegw/platform/tests/test_requests.py
@@ -90,7 +90,7 @@
     """
     installation = await start_installation(route_type="unsafe")
     first, second, _ = installation.backends.values()
-    first.faults.not_run = second.faults.not_run = 503
+    first.faults.not_executed_status = second.faults.not_executed_status = 503
     replies = [await installation.call(f"/{n}", "POST", b"1") for n in range(5)]
     for number, reply in enumerate(replies):
         assert len(installation.runs(f"/{number}")) == (reply.status == 200)
@@ -101,7 +101,7 @@
 async def test_truncated_response_is_not_forwarded_as_complete():
     installation = await start_installation(route_type="unsafe")
     for backend in installation.backends.values():
-        backend.faults.truncate = True
+        backend.faults.truncate_responses = True
     reply = await installation.call("/pay", "POST", b"1")
     assert reply.status == 502
 
@@ -110,7 +110,7 @@
 async def test_response_without_a_length_ends_with_its_connection():
     installation = await start_installation()
     for backend in installation.backends.values():
-        backend.faults.unframed = True
+        backend.faults.omit_content_length = True
     reply = await installation.call("/x")
     assert reply.status == 200
     assert reply.body.startswith(b"answer of ")
@@ -123,7 +123,7 @@
     the response to another request.
     """
     installation = await start_installation(backends=1)
-    installation.backends["i-0"].faults.extra_late = True
+    installation.backends["i-0"].faults.duplicate_responses = True
     for number in range(10):
         reply = await installation.call(f"/{number}")
         assert reply.status == 200
@@ -200,7 +200,7 @@
     """
     installation = await start_installation(backends=2)
     for backend in installation.backends.values():
-        backend.faults.cold_ms = 60_000
+        backend.faults.warm_up_ms = 60_000
     replies = await asyncio.gather(*(installation.call(f"/{n}") for n in range(60)))
     for _ in range(40):
         await asyncio.sleep(0.1)
@@ -214,7 +214,7 @@
 async def test_disconnect_of_the_caller_cancels_an_idempotent_request():
     installation = await start_installation()
     for backend in installation.backends.values():
-        backend.work = 1.0
+        backend.service_seconds = 1.0
     call = asyncio.ensure_future(installation.call("/x"))
     await asyncio.sleep(0.2)
     for near, _ in installation.network.connections:
@@ -257,7 +257,7 @@
     installation = await start_installation(gateways=2, backends=8)
     await asyncio.sleep(2.0)
     for backend in installation.backends.values():
-        backend.faults.crash_on = b"/poison"
+        backend.faults.crash_target = b"/poison"
     for number in range(12):
         await installation.call("/poison", to=f"gw-{number % 2}")
         await asyncio.sleep(0.3)
@@ -308,7 +308,7 @@
     log = installation.processes["gw-0"].log
     log.event = lambda kind, **fields: events.append((kind, fields))
     for backend in installation.backends.values():
-        backend.work = 0.8
+        backend.service_seconds = 0.8
     await installation.call("/slow", "POST", b"1")
     for backend in installation.backends.values():
         backend.faults.reset_after_run = True
--- a/boragegw/platform/tests/test_sources.py
+++ b/boragegw/platform/tests/test_sources.py
@@ -33,7 +33,7 @@
     installation = standins.WireInstallation()
     if store is not None:
         installation.store = store
-    installation.store.page = page
+    installation.store.page_size = page
     await installation.store.start()
     return installation
 
@@ -78,12 +78,12 @@
     await asyncio.sleep(5.0)
     roots = [p for p in installation.processes.values() if p.local_member.watches_store]
     assert len(roots) == 1
-    store.page = 1
+    store.page_size = 1
     store.delay = 0.1
     backend = installation.backends["i-0"]
-    store.forget_history()
+    store.compact()
     store.put("op/aaa", {"x": 1})
-    store.forget_history()
+    store.compact()
     for _, end in installation.network.connections:
         if end.local[0] == "store":
             end.abort()
@@ -234,8 +234,8 @@
 
 async def start_with_slow_source(monkeypatch):
     """Start three gateways; the first watches the store and has a very slow link."""
-    monkeypatch.setattr(_links, "SEGMENT", 256)
-    monkeypatch.setattr(_links, "WINDOW", 1024)
+    monkeypatch.setattr(_links, "SEGMENT_BYTES", 256)
+    monkeypatch.setattr(_links, "WINDOW_BYTES", 1024)
     installation = await start_store()
     installation.publish([standins.WireInstallation.route()])
     await installation.add_backend("i-0")
@@ -328,7 +328,7 @@
     await installation.add_gateway("gw-0")
     await asyncio.sleep(5.0)
     store.revision -= 20
-    store.forget_history()
+    store.compact()
     calls = store.calls
     for near, _ in installation.network.connections:
         if near.remote[0] == "store" and not near.is_lost():
--- a/boragegw/platform/tests/test_stalled_answers.py
+++ b/boragegw/platform/tests/test_stalled_answers.py
@@ -29,12 +29,12 @@
 
 def silence(installation):
     for backend in installation.backends.values():
-        installation.network.silence(backend.address[0])
+        installation.network.blackhole_connections(backend.address[0])
 
 
 def slow_down(installation):
     for backend in installation.backends.values():
-        installation.network.outgoing(backend.address[0]).rate = STALLED_MBPS
+        installation.network.outgoing_link(backend.address[0]).rate = STALLED_MBPS
 
 
 def disconnect_callers(installation):
--- a/boragegw/platform/tests/test_store_updates.py
+++ b/boragegw/platform/tests/test_store_updates.py
@@ -71,9 +71,9 @@
 @in_memory
 async def test_lost_history_causes_a_full_read():
     installation = await start_installation()
-    installation.store.forget_history()
+    installation.store.compact()
     await installation.add_backend("i-7")
-    installation.store.forget_history()
+    installation.store.compact()
     await asyncio.sleep(25.0)
     assert "servers/i-7" in installation.processes["gw-0"].board.servers
 
@@ -81,7 +81,7 @@
 @in_memory
 async def test_paged_store_is_read_completely():
     installation = standins.WireInstallation()
-    installation.store.page = 2
+    installation.store.page_size = 2
     await installation.start(backends=7)
     assert len(installation.processes["gw-0"].board.servers) == 7
     assert (await installation.call("/x")).status == 200
@@ -103,9 +103,9 @@
     ]
     for one, other in store_connections:
         if one.local[0] == "gw-1":
-            one.silent = other.silent = True
+            one.blackholed = other.blackholed = True
     installation.publish([installation.route("/new/")])
-    installation.store.forget_history()
+    installation.store.compact()
     await asyncio.sleep(2.0)
     assert (await installation.call("/new/1", to="gw-1")).status == 200
     assert (await installation.call("/old/1", to="gw-1")).status == 404
@@ -144,19 +144,19 @@
     """
     installation = await start_installation(gateways=3)
     await asyncio.sleep(30.0)
-    installation.store.deaf = True
+    installation.store.stall_watches = True
     for one, other in installation.network.connections:
         if one.remote == STORE:
-            one.silent = other.silent = True
+            one.blackholed = other.blackholed = True
     installation.publish([installation.route("/new/")])
     await asyncio.sleep(1.0)
-    installation.store.forget_history()
+    installation.store.compact()
     for one, other in installation.network.connections:
         if one.remote == STORE:
-            one.silent = other.silent = False
-            one.break_off()
+            one.blackholed = other.blackholed = False
+            one.reset_locally()
     await asyncio.sleep(0.2)
-    installation.store.deaf = False
+    installation.store.stall_watches = False
     await asyncio.sleep(1.5)
     for name in installation.processes:
         assert (await installation.call("/new/1", to=name)).status == 200
@@ -169,9 +169,9 @@
     The error of the second read stopped the process.
     """
     installation = await start_installation()
-    installation.store.forget_history()
+    installation.store.compact()
     await installation.add_backend("i-8")
-    installation.store.forget_history()
+    installation.store.compact()
     for _ in range(400):
         installation.store.status = None if installation.store.status else 503
         await asyncio.sleep(0.013)
--- a/boragegw/platform/tests/test_time_limits.py
+++ b/boragegw/platform/tests/test_time_limits.py
@@ -99,7 +99,7 @@
     call = asyncio.create_task(installation.call("/d", x_deadline_ms="10000"))
     await asyncio.sleep(0.2)
     (stalled,) = [b for b in installation.backends.values() if b.runs]
-    installation.network.silence(stalled.address[0])
+    installation.network.blackhole_connections(stalled.address[0])
     reply = await call
     assert (reply.status, len(reply.body)) == (200, LARGE_BODY_BYTES)
     assert reply.seconds < 1.0
@@ -149,8 +149,8 @@
     await asyncio.sleep(0.3)
     for near, far in installation.network.connections:
         if near.remote[0].startswith("host-"):
-            near.silent = far.silent = True
-            far.other = None
+            near.blackholed = far.blackholed = True
+            far.peer = None
     await asyncio.sleep(0.5)
     for near, _ in installation.network.connections:
         if near.remote == FRONT_ADDRESS:
--- a/boragegw/platform/tests/test_uploads.py
+++ b/boragegw/platform/tests/test_uploads.py
@@ -81,7 +81,7 @@
         route_type="unsafe", timeout_s=5.0
     )
     for backend in installation.backends.values():
-        backend.work = 0.5
+        backend.service_seconds = 0.5
     reader = _ResponseCollector()
     loop = installation.loop
     transport, _ = await loop.create_connection(
--- a/boragegw/standins/_links.py
+++ b/boragegw/standins/_links.py
@@ -4,11 +4,11 @@
 import functools
 
 #: Bytes that a link carries at a time.
-SEGMENT = 16 * 1024
+SEGMENT_BYTES = 16 * 1024
 #: Bytes of one direction of a connection that may be on the way at once.
-WINDOW = 64 * 1024
+WINDOW_BYTES = 64 * 1024
 #: Bytes per second in one Mbit/s.
-MEGABIT = 1_000_000 / 8
+BYTES_PER_MEGABIT = 1_000_000 / 8
 
 
 class Link:
@@ -19,11 +19,11 @@
 
     def __init__(self, loop, mbps):
         self.loop = loop
-        self.rate = mbps * MEGABIT
+        self.rate = mbps * BYTES_PER_MEGABIT
         self._queues = {}
         self._busy = False
 
-    def carry(self, flow, size, done):
+    def transmit(self, flow, size, done):
         """Call ``done`` when ``size`` bytes of ``flow`` are through."""
         self._queues.setdefault(flow, collections.deque()).append((size, done))
         if not self._busy:
@@ -64,8 +64,8 @@
         if data is None:
             self._pending.append((kind, data, 0))
         else:
-            for start in range(0, len(data), SEGMENT):
-                segment = data[start : start + SEGMENT]
+            for start in range(0, len(data), SEGMENT_BYTES):
+                segment = data[start : start + SEGMENT_BYTES]
                 self._pending.append((kind, segment, len(segment)))
         self._fill_window()
 
@@ -74,20 +74,20 @@
         self._pending.clear()
 
     def _fill_window(self):
-        while self._pending and self._in_flight < WINDOW:
-            if self.end.other is None or self.end.other.is_lost():
+        while self._pending and self._in_flight < WINDOW_BYTES:
+            if self.end.peer is None or self.end.peer.is_lost():
                 self.drop()
                 return
             segment = self._pending.popleft()
             self._in_flight += segment[2]
-            link = self.network.outgoing(self.end.local[0])
-            self._carry(link, segment, self._cross)
+            link = self.network.outgoing_link(self.end.local[0])
+            self._transmit(link, segment, self._cross)
 
-    def _carry(self, link, segment, done):
+    def _transmit(self, link, segment, done):
         if link is None:
             done(segment)
         else:
-            link.carry(self, segment[2], functools.partial(done, segment))
+            link.transmit(self, segment[2], functools.partial(done, segment))
 
     def _cross(self, segment):
         # Timers of the same moment run in any order; the queue keeps this one's.
@@ -95,13 +95,13 @@
         self.network.loop.call_later(self.network.delay, self._reach)
 
     def _reach(self):
-        link = self.network.incoming(self.end.remote[0])
-        self._carry(link, self._crossing.popleft(), self._arrive)
+        link = self.network.incoming_link(self.end.remote[0])
+        self._transmit(link, self._crossing.popleft(), self._arrive)
 
     def _arrive(self, segment):
         kind, data, size = segment
         self._in_flight -= size
-        other = self.end.other
-        if self.end.can_reach():
-            self.network.loop.call_soon(other.arrive, kind, data, context=other.context)
+        peer = self.end.peer
+        if self.end.reaches_peer():
+            self.network.loop.call_soon(peer.receive, kind, data, context=peer.context)
         self._fill_window()
--- a/boragegw/standins/_memory_network.py
+++ b/boragegw/standins/_memory_network.py
@@ -28,8 +28,8 @@
         self.protocol = protocol
         self.local = local
         self.remote = remote
-        self.other = None
-        self.silent = False
+        self.peer = None
+        self.blackholed = False
         # What arrives runs as code of this end's host, not of the sender's.
         self.context = contextvars.copy_context()
         self.context.run(CURRENT_HOST.set, local[0])
@@ -51,10 +51,10 @@
         """Return whether nothing can arrive here any more."""
         return self._lost
 
-    def can_reach(self):
+    def reaches_peer(self):
         """Return whether what is sent now gets to the other end."""
         cut = self.loop.network.is_cut(self.local[0], self.remote[0])
-        return self.other is not None and not self.silent and not cut
+        return self.peer is not None and not self.blackholed and not cut
 
     def get_write_buffer_size(self):
         """Return 0: the network takes all at once."""
@@ -91,7 +91,7 @@
             self._deliver("reset", None)
             self.loop.call_soon(self._lose, None, context=self.context)
 
-    def break_off(self):
+    def reset_locally(self):
         """Lose the connection on this side, as a reset from the network would."""
         self._closing = True
         self._lose(ConnectionResetError("reset by the network"))
@@ -109,18 +109,18 @@
     def _deliver(self, kind, data):
         if kind == "reset":
             self._flow.drop()
-        if not self.can_reach():
+        if not self.reaches_peer():
             return
         network = self.loop.network
         if kind != "reset" and network.is_limited(self.local[0], self.remote[0]):
             self._flow.send(kind, data)
             return
-        other = self.other
+        peer = self.peer
         self.loop.call_later(
-            network.delay, other.arrive, kind, data, context=other.context
+            network.delay, peer.receive, kind, data, context=peer.context
         )
 
-    def arrive(self, kind, data):
+    def receive(self, kind, data):
         """Take what the other end sent."""
         if self._lost:
             return
@@ -192,18 +192,18 @@
         self._incoming = {}
 
     def set_link(self, host, mbps):
-        """Limit what all connections of ``host`` carry together.
+        """Limit what all connections of ``host`` transmit together.
 
         :param mbps: Mbit/s of each direction. Datagrams are not limited.
         """
         self._outgoing[host] = _links.Link(self.loop, mbps)
         self._incoming[host] = _links.Link(self.loop, mbps)
 
-    def outgoing(self, host):
+    def outgoing_link(self, host):
         """Return the link out of ``host``, ``None`` if it is unlimited."""
         return self._outgoing.get(host)
 
-    def incoming(self, host):
+    def incoming_link(self, host):
         """Return the link into ``host``, ``None`` if it is unlimited."""
         return self._incoming.get(host)
 
@@ -223,11 +223,11 @@
         """Return whether what ``source`` sends to ``target`` is lost."""
         return (source, target) in self._cuts
 
-    def silence(self, host):
+    def blackhole_connections(self, host):
         """Let all open connections to ``host`` go silent; new ones work."""
         for near, far in self.connections:
             if host in (near.local[0], far.local[0]):
-                near.silent = far.silent = True
+                near.blackholed = far.blackholed = True
 
     def send_datagram(self, source, target, data):
         """Deliver a datagram unless the way is cut."""
@@ -256,7 +256,7 @@
         near = MemoryTransport(self.loop, protocol, (source, 0), target)
         served = accept()
         far = MemoryTransport(self.loop, served, target, (source, 0))
-        near.other, far.other = far, near
+        near.peer, far.peer = far, near
         self.connections.append((near, far))
         far.context.run(served.connection_made, far)
         protocol.connection_made(near)
--- a/boragegw/standins/_wire_backend.py
+++ b/boragegw/standins/_wire_backend.py
@@ -11,48 +11,55 @@
 class WireFaults:
     """What goes wrong.
 
-    :param not_run: refuse requests as not run, with this status.
-    :param not_run_share: share of the requests that are refused then.
+    :param not_executed_status: refuse requests as not run, with this status.
+    :param not_executed_share: share of the requests that are refused then.
     :param reset_after_run: run requests and reset the connection.
     :param reset_before_run: reset the connection when a request arrives.
     :param silent: never answer requests.
     :param status: status of answers to requests.
-    :param extra_late: send each answer once more, before the next one.
-    :param truncate: break answers off half way.
+    :param duplicate_responses: send each answer once more, before the next one.
+    :param truncate_responses: break answers off half way.
     :param healthy: the health check passes.
-    :param crash_on: a request for this target crashes the server for two seconds.
-    :param cold_ms: milliseconds for which the health check says it stays cold.
+    :param crash_target: a request for this target crashes the server for two seconds.
+    :param warm_up_ms: milliseconds for which the health check says it stays cold.
     """
 
-    not_run: int = 0
-    not_run_share: float = 1.0
+    not_executed_status: int = 0
+    not_executed_share: float = 1.0
     reset_after_run: bool = False
     reset_before_run: bool = False
     silent: bool = False
     status: int = 200
-    extra_late: bool = False
-    truncate: bool = False
-    unframed: bool = False
+    duplicate_responses: bool = False
+    truncate_responses: bool = False
+    omit_content_length: bool = False
     healthy: bool = True
-    cold_ms: int = 0
-    crash_on: bytes = b""
+    warm_up_ms: int = 0
+    crash_target: bytes = b""
 
 
 class WireBackend:
     """One backend server.
 
     :param identity: its id; another one is answered with 421.
-    :param work: seconds that a request takes.
+    :param service_seconds: seconds that a request takes.
     :param load: text of its load report, empty if it tells none.
-    :param handshake: seconds that taking a new connection takes.
+    :param handshake_seconds: seconds that taking a new connection takes.
     """
 
-    def __init__(self, identity, address, work=0.05, load="0,0,6,100", handshake=0.0):
+    def __init__(
+        self,
+        identity,
+        address,
+        service_seconds=0.05,
+        load="0,0,6,100",
+        handshake_seconds=0.0,
+    ):
         self.identity = identity
         self.address = address
-        self.work = work
+        self.service_seconds = service_seconds
         self.load = load
-        self.handshake = handshake
+        self.handshake_seconds = handshake_seconds
         self.body = b"answer of " + identity.encode()
         self.faults = WireFaults()
         self.runs = []
@@ -78,11 +85,11 @@
 
     async def run(self):
         """Work on one request."""
-        await asyncio.sleep(self.work)
+        await asyncio.sleep(self.service_seconds)
 
-    def handshake_time(self):
+    def current_handshake_seconds(self):
         """Return the seconds that a new connection takes now."""
-        return self.handshake
+        return self.handshake_seconds
 
     def crash(self):
         """Crash and come back after two seconds."""
@@ -150,7 +157,7 @@
         target = self.target
         if not self.known:
             self.known = True
-            await asyncio.sleep(self.backend.handshake_time())
+            await asyncio.sleep(self.backend.current_handshake_seconds())
         await (self._health() if target == b"/health" else self._request())
 
     async def _health(self):
@@ -158,8 +165,8 @@
         backend.probes += 1
         status = 200 if backend.faults.healthy else 503
         headers = [("x-instance-id", backend.identity)]
-        if backend.faults.cold_ms:
-            headers.append(("x-warmup-ms", str(backend.faults.cold_ms)))
+        if backend.faults.warm_up_ms:
+            headers.append(("x-warmup-ms", str(backend.faults.warm_up_ms)))
         self._answer(status, headers, b"")
 
     async def _request(self):
@@ -174,10 +181,15 @@
         if faults.reset_before_run:
             self.transport.abort()
             return
-        if faults.not_run and backend.random_state.random() < faults.not_run_share:
-            self._answer(faults.not_run, [*echo, ("x-not-executed", "1")], b"")
+        if (
+            faults.not_executed_status
+            and backend.random_state.random() < faults.not_executed_share
+        ):
+            self._answer(
+                faults.not_executed_status, [*echo, ("x-not-executed", "1")], b""
+            )
             return
-        if faults.crash_on and self.target == faults.crash_on:
+        if faults.crash_target and self.target == faults.crash_target:
             backend.runs.append((request_id, self.target, self.body))
             backend.crash()
             return
@@ -205,15 +217,15 @@
         if self.backend.load:
             lines.append(f"x-backend-load: {self.backend.load}")
         lines += [f"{name}: {value}" for name, value in headers]
-        if not faults.unframed:
+        if not faults.omit_content_length:
             lines.append(f"content-length: {len(body)}")
         head = ("\r\n".join(lines) + "\r\n\r\n").encode()
-        if faults.truncate and body:
+        if faults.truncate_responses and body:
             self.transport.write(head + body[: len(body) // 2])
             self.transport.close()
             return
         self.transport.write(head + body)
-        if faults.unframed:
+        if faults.omit_content_length:
             self.transport.close()
-        if faults.extra_late and body:
+        if faults.duplicate_responses and body:
             self.late = head + body
--- a/boragegw/standins/_wire_noise.py
+++ b/boragegw/standins/_wire_noise.py
@@ -9,47 +9,53 @@
     """A backend server with slots, whose pace changes many times a second.
 
     A request keeps the pace at which it begins. It takes longer by ``knee_factor`` if
-    it begins while more than ``knee`` of the slots are in use, and waits while all are.
+    it begins while more than ``knee_utilization`` of the slots are in use, and waits
+    while all are.
 
-    :param noise_share: share of the spells in which it is slow.
-    :param noise_factor: multiple of the usual time in a slow spell.
-    :param spell: seconds between two changes of pace.
-    :param handshake: seconds at the usual pace that taking a new connection takes.
-    :param silent: it tells no load.
+    :param slow_period_share: share of the spells in which it is slow.
+    :param slow_period_factor: multiple of the usual time in a slow spell.
+    :param period_seconds: seconds between two changes of pace.
+    :param handshake_seconds: seconds to accept a connection at the usual pace.
+    :param omit_load_reports: it tells no load.
     """
 
     def __init__(
         self,
         identity,
         address,
-        work=0.09,
+        service_seconds=0.09,
         slots=6,
-        noise_share=0.25,
-        noise_factor=5.0,
-        spell=0.15,
-        knee=0.8,
+        slow_period_share=0.25,
+        slow_period_factor=5.0,
+        period_seconds=0.15,
+        knee_utilization=0.8,
         knee_factor=1.7,
-        handshake=0.001,
-        silent=False,
+        handshake_seconds=0.001,
+        omit_load_reports=False,
     ):
-        super().__init__(identity, address, work=work, handshake=handshake)
-        self.silent = silent
+        super().__init__(
+            identity,
+            address,
+            service_seconds=service_seconds,
+            handshake_seconds=handshake_seconds,
+        )
+        self.omit_load_reports = omit_load_reports
         self.slots = slots
-        self.noise_share = noise_share
-        self.noise_factor = noise_factor
-        self.spell = spell
-        self.knee = knee
+        self.slow_period_share = slow_period_share
+        self.slow_period_factor = slow_period_factor
+        self.period_seconds = period_seconds
+        self.knee_utilization = knee_utilization
         self.knee_factor = knee_factor
         self._places = asyncio.Semaphore(slots)
         self._running = 0
         self._waiting = 0
-        self._spell_until = 0.0
+        self._period_ends_at = 0.0
         self._pace = 1.0
 
     @property
     def load(self):
         """Text of its load report."""
-        if self.silent:
+        if self.omit_load_reports:
             return ""
         percent = round(100 * self._pace_now())
         return f"{self._running},{self._waiting},{self.slots},{percent}"
@@ -60,15 +66,17 @@
 
     def _pace_now(self):
         now = asyncio.get_running_loop().time()
-        if now >= self._spell_until:
-            slow = self.random_state.random() < self.noise_share
-            self._pace = self.noise_factor if slow else 1.0
-            self._spell_until = now + self.spell * self.random_state.uniform(0.5, 1.5)
+        if now >= self._period_ends_at:
+            slow = self.random_state.random() < self.slow_period_share
+            self._pace = self.slow_period_factor if slow else 1.0
+            self._period_ends_at = (
+                now + self.period_seconds * self.random_state.uniform(0.5, 1.5)
+            )
         return self._pace
 
-    def handshake_time(self):
+    def current_handshake_seconds(self):
         """Return the seconds that a new connection takes now."""
-        return self.handshake * self._pace_now()
+        return self.handshake_seconds * self._pace_now()
 
     async def run(self):
         """Take a slot and work."""
@@ -79,9 +87,9 @@
             self._waiting -= 1
         self._running += 1
         try:
-            past_knee = self._running > self.knee * self.slots
+            past_knee = self._running > self.knee_utilization * self.slots
             factor = self.knee_factor if past_knee else 1.0
-            await asyncio.sleep(self.work * self._pace_now() * factor)
+            await asyncio.sleep(self.service_seconds * self._pace_now() * factor)
         finally:
             self._running -= 1
             self._places.release()
--- a/boragegw/standins/_wire_store.py
+++ b/boragegw/standins/_wire_store.py
@@ -12,21 +12,21 @@
 class WireStore:
     """Keys with revisions, ranges in pages, watches.
 
-    :param page: items in a page.
+    :param page_size: items in a page.
     :param status: answers each call with this status instead, if set.
     :param hang: answers nothing while set.
-    :param deaf: watches that begin while set hear nothing until their time is over.
+    :param stall_watches: watches begun while set get no events before timeout.
     """
 
-    def __init__(self, address=("store", 1), page=500):
+    def __init__(self, address=("store", 1), page_size=500):
         self.address = address
-        self.page = page
+        self.page_size = page_size
         self.status = None
         self.hang = False
-        self.deaf = False
+        self.stall_watches = False
         self.calls = 0
         self.revision = 0
-        self.history_from = 0
+        self.compacted_revision = 0
         self._items = {}
         self._events = []
         self._changed = asyncio.Event()
@@ -52,10 +52,10 @@
         self._items.pop(key, None)
         self._note({"key": key, "rev": self.revision, "deleted": True})
 
-    def forget_history(self):
+    def compact(self):
         """Answer watches from before now with 410."""
         self._events.clear()
-        self.history_from = self.revision
+        self.compacted_revision = self.revision
 
     def _note(self, event):
         self._events.append(event)
@@ -80,18 +80,18 @@
         prefix = query.get("prefix", "")
         after = query.get("after", "")
         keys = sorted(k for k in self._items if k.startswith(prefix) and k > after)
-        items = [self._items[key] for key in keys[: self.page]]
-        more = len(keys) > self.page
+        items = [self._items[key] for key in keys[: self.page_size]]
+        more = len(keys) > self.page_size
         return _json({"items": items, "has_more": more, "as_of": self.revision})
 
     async def _watch(self, query):
         after = int(query["after"])
         loop = asyncio.get_running_loop()
         end = loop.time() + int(query.get("wait_ms", "0")) / 1000
-        if self.deaf:
+        if self.stall_watches:
             await asyncio.sleep(max(0.0, end - loop.time()))
         while True:
-            if after < self.history_from:
+            if after < self.compacted_revision:
                 return gateway.EndpointResponse(410)
             events = [e for e in self._events if e["rev"] > after]
             left = end - loop.time()
