--- a/boragegw/standins/_memory_network.py
+++ b/boragegw/standins/_memory_network.py
@@ -1,8 +1,9 @@
-"""An event loop with a network in memory and virtual time.
+"""An event loop with an in-memory network and virtual time.
 
-Programs under test run unchanged: their connections, listeners and datagrams go
-through this loop, with a delay, and can be cut, silenced and reset. No real time
-passes and nothing leaves the process, so a run depends on the program and its seeds.
+Programs under test run unchanged. Their connections, listeners and datagrams use
+this loop, which adds a delay and can cut, black-hole and reset connections. No real
+time passes and nothing leaves the process, so a run depends only on the program and
+its seeds.
 """
 
 import asyncio
@@ -13,14 +14,18 @@
 from boragegw import utils
 from boragegw.standins import _links
 
-#: Seconds one way between any two addresses.
-DELAY = 0.0005
-#: Host on which the running code is taken to run; tasks inherit it.
+#: One-way delay in seconds between any two addresses.
+DELAY_SECONDS = 0.0005
+#: Simulated host of the running code. Tasks inherit it from the one that creates them.
 CURRENT_HOST = contextvars.ContextVar("host", default="caller")
 
 
 class MemoryTransport(asyncio.Transport):
-    """One end of a connection in memory."""
+    """One endpoint of an in-memory connection.
+
+    :ivar peer: the transport at the other endpoint.
+    :ivar blackholed: whether what this endpoint sends is lost without an error.
+    """
 
     def __init__(self, loop, protocol, local, remote):
         super().__init__()
@@ -30,85 +35,85 @@
         self.remote = remote
         self.peer = None
         self.blackholed = False
-        # What arrives runs as code of this end's host, not of the sender's.
+        # Callbacks run as code of this endpoint's host, not of the sender's.
         self.context = contextvars.copy_context()
         self.context.run(CURRENT_HOST.set, local[0])
         self._closing = False
         self._lost = False
         self._paused = False
-        self._waiting = collections.deque()
+        self._buffered = collections.deque()
         self._flow = _links.Flow(loop.network, self)
 
     def get_extra_info(self, name, default=None):
-        """Return addresses; there is no socket."""
+        """Return an address; other information exists only for real sockets."""
         return {"peername": self.remote, "sockname": self.local}.get(name, default)
 
     def is_closing(self):
-        """Return whether the end was closed here."""
+        """Return whether this endpoint is closing or closed."""
         return self._closing
 
     def is_lost(self):
-        """Return whether nothing can arrive here any more."""
+        """Return whether the connection is lost, so that nothing more is received."""
         return self._lost
 
     def reaches_peer(self):
-        """Return whether what is sent now gets to the other end."""
+        """Return whether data that is sent now reaches the peer."""
         cut = self.loop.network.is_cut(self.local[0], self.remote[0])
         return self.peer is not None and not self.blackholed and not cut
 
     def get_write_buffer_size(self):
-        """Return 0: the network takes all at once."""
+        """Return 0, since the network accepts all data at once."""
         return 0
 
     def set_write_buffer_limits(self, high=None, low=None):
-        """Accept limits; they are never reached."""
+        """Accept limits, which the empty buffer never reaches."""
 
     def write(self, data):
-        """Send bytes to the other end."""
+        """Send bytes to the peer."""
         if not self._closing:
-            self._deliver("data", bytes(data))
+            self._transmit("data", bytes(data))
 
     def can_write_eof(self):
-        """Return whether one direction can be ended alone."""
+        """Return whether the transport supports half-closing."""
         return True
 
     def write_eof(self):
-        """End this direction; the other one stays open."""
+        """Close this direction; the other one stays open."""
         if not self._closing:
-            self._deliver("eof", None)
+            self._transmit("eof", None)
 
     def close(self):
-        """Close in order: what was written arrives before the end."""
+        """Close after the data written so far, which is still delivered."""
         if not self._closing:
             self._closing = True
-            self._deliver("eof", None)
-            self.loop.call_soon(self._lose, None, context=self.context)
+            self._transmit("eof", None)
+            self.loop.call_soon(self._notify_lost, None, context=self.context)
 
     def abort(self):
         """Reset the connection."""
         if not self._lost:
             self._closing = True
-            self._deliver("reset", None)
-            self.loop.call_soon(self._lose, None, context=self.context)
+            self._transmit("reset", None)
+            self.loop.call_soon(self._notify_lost, None, context=self.context)
 
     def reset_locally(self):
-        """Lose the connection on this side, as a reset from the network would."""
+        """Reset the connection at this endpoint only, without telling the peer."""
         self._closing = True
-        self._lose(ConnectionResetError("reset by the network"))
+        self._notify_lost(ConnectionResetError("reset by the network"))
 
     def pause_reading(self):
-        """Hold back what arrives."""
+        """Buffer received data until reading resumes."""
         self._paused = True
 
     def resume_reading(self):
-        """Take what was held back."""
+        """Deliver buffered data to the protocol."""
         self._paused = False
-        while self._waiting and not self._paused and not self._lost:
-            self._accept(*self._waiting.popleft())
+        while self._buffered and not self._paused and not self._lost:
+            self._dispatch(*self._buffered.popleft())
 
-    def _deliver(self, kind, data):
+    def _transmit(self, kind, data):
         if kind == "reset":
-            self._flow.drop()
+            self._flow.discard_pending()
         if not self.reaches_peer():
             return
         network = self.loop.network
@@ -121,30 +126,30 @@
         )
 
     def receive(self, kind, data):
-        """Take what the other end sent."""
+        """Receive data, the end of a direction or a reset from the peer."""
         if self._lost:
             return
-        if self._paused or self._waiting:
-            self._waiting.append((kind, data))
+        if self._paused or self._buffered:
+            self._buffered.append((kind, data))
         else:
-            self._accept(kind, data)
+            self._dispatch(kind, data)
 
-    def _accept(self, kind, data):
+    def _dispatch(self, kind, data):
         if kind == "data":
             self.protocol.data_received(data)
         elif kind == "reset":
             self._closing = True
-            self._lose(ConnectionResetError("reset by the other end"))
+            self._notify_lost(ConnectionResetError("reset by the peer"))
         elif not self.protocol.eof_received():
             self.close()
 
-    def _lose(self, error):
+    def _notify_lost(self, error):
         if not self._lost:
             self._lost = True
             self.protocol.connection_lost(error)
 
 
-class _DatagramEnd(asyncio.DatagramTransport):
+class _DatagramEndpoint(asyncio.DatagramTransport):
     def __init__(self, loop, protocol, local):
         super().__init__()
         self.loop = loop
@@ -164,7 +169,7 @@
 
 
 class MemoryListener:
-    """A listening address."""
+    """A listener on one address."""
 
     def __init__(self, network, address):
         self.network = network
@@ -176,12 +181,12 @@
 
 
 class MemoryNetwork:
-    """Listeners, datagram ends and faults.
+    """Connections, listeners, datagram endpoints and injected network faults.
 
-    :param delay: seconds one way.
+    :param delay: one-way delay in seconds.
     """
 
-    def __init__(self, loop, delay=DELAY):
+    def __init__(self, loop, delay=DELAY_SECONDS):
         self.loop = loop
         self.delay = delay
         self.listeners = {}
@@ -192,9 +197,9 @@
         self._incoming = {}
 
     def set_link(self, host, mbps):
-        """Limit what all connections of ``host`` transmit together.
+        """Limit the total rate of all connections of ``host``.
 
-        :param mbps: Mbit/s of each direction. Datagrams are not limited.
+        :param mbps: Mbit/s in each direction. Datagrams are not limited.
         """
         self._outgoing[host] = _links.Link(self.loop, mbps)
         self._incoming[host] = _links.Link(self.loop, mbps)
@@ -208,66 +213,71 @@
         return self._incoming.get(host)
 
     def is_limited(self, source, target):
-        """Return whether a link slows what ``source`` sends to ``target``."""
+        """Return whether a link limits the rate from ``source`` to ``target``."""
         return source in self._outgoing or target in self._incoming
 
     def cut(self, one, other):
-        """Lose everything between two hosts, both ways."""
+        """Drop all traffic between two hosts, in both directions."""
         self._cuts |= {(one, other), (other, one)}
 
     def heal(self, one, other):
-        """End a cut."""
+        """Undo a cut."""
         self._cuts -= {(one, other), (other, one)}
 
     def is_cut(self, source, target):
-        """Return whether what ``source`` sends to ``target`` is lost."""
+        """Return whether traffic from ``source`` to ``target`` is dropped."""
         return (source, target) in self._cuts
 
     def blackhole_connections(self, host):
-        """Let all open connections to ``host`` go silent; new ones work."""
+        """Drop the traffic of all open connections of ``host``; new ones work."""
         for near, far in self.connections:
             if host in (near.local[0], far.local[0]):
                 near.blackholed = far.blackholed = True
 
     def send_datagram(self, source, target, data):
-        """Deliver a datagram unless the way is cut."""
+        """Deliver a datagram unless traffic to its target is cut."""
         if self.is_cut(source[0], target[0]):
             return
-        end = self.datagrams.get(target)
-        if end is not None:
+        endpoint = self.datagrams.get(target)
+        if endpoint is not None:
             self.loop.call_later(
-                self.delay, self._arrive, source, target, data, context=end.context
+                self.delay,
+                self._deliver_datagram,
+                source,
+                target,
+                data,
+                context=endpoint.context,
             )
 
-    def _arrive(self, source, target, data):
-        end = self.datagrams.get(target)
-        if end is not None:
-            end.protocol.datagram_received(data, source)
+    def _deliver_datagram(self, source, target, data):
+        endpoint = self.datagrams.get(target)
+        if endpoint is not None:
+            endpoint.protocol.datagram_received(data, source)
 
     async def connect(self, factory, source, target):
         """Open a connection from the host ``source`` to the address ``target``."""
         await asyncio.sleep(2 * self.delay)
         if self.is_cut(source, target[0]):
             await asyncio.sleep(60.0)
-        accept = self.listeners.get(target)
-        if accept is None:
+        server_factory = self.listeners.get(target)
+        if server_factory is None:
             raise ConnectionRefusedError(f"nothing listens on {target}")
         protocol = factory()
         near = MemoryTransport(self.loop, protocol, (source, 0), target)
-        served = accept()
-        far = MemoryTransport(self.loop, served, target, (source, 0))
+        server_protocol = server_factory()
+        far = MemoryTransport(self.loop, server_protocol, target, (source, 0))
         near.peer, far.peer = far, near
         self.connections.append((near, far))
-        far.context.run(served.connection_made, far)
+        far.context.run(server_protocol.connection_made, far)
         protocol.connection_made(near)
         return near, protocol
 
 
 class MemoryLoop(utils.VirtualTimeLoop):
-    """A virtual time loop whose sockets are in memory.
+    """A virtual time loop with an in-memory network.
 
-    The host that opens a connection is the one named by the running task's context,
-    see :data:`CURRENT_HOST`.
+    A connection's local host is :data:`CURRENT_HOST` in the context of the task that
+    opens it.
     """
 
     def __init__(self):
@@ -275,32 +285,32 @@
         self.network = MemoryNetwork(self)
 
     async def create_connection(self, protocol_factory, host=None, port=None, **_):
-        """Open a connection in memory."""
+        """Open an in-memory connection."""
         target = (host, port)
         return await self.network.connect(protocol_factory, CURRENT_HOST.get(), target)
 
     async def create_server(self, protocol_factory, host=None, port=None, **_):
-        """Listen in memory."""
+        """Listen on an in-memory address."""
         self.network.listeners[(host, port)] = protocol_factory
         return MemoryListener(self.network, (host, port))
 
     async def create_datagram_endpoint(self, protocol_factory, local_addr=None, **_):
-        """Bind a datagram address in memory."""
+        """Bind an in-memory datagram address."""
         protocol = protocol_factory()
-        end = _DatagramEnd(self, protocol, local_addr)
-        self.network.datagrams[local_addr] = end
-        protocol.connection_made(end)
-        return end, protocol
+        endpoint = _DatagramEndpoint(self, protocol, local_addr)
+        self.network.datagrams[local_addr] = endpoint
+        protocol.connection_made(endpoint)
+        return endpoint, protocol
 
 
 def run_in_memory(coroutine):
-    """Run ``coroutine`` to its end on a :class:`MemoryLoop`; return its result."""
+    """Run ``coroutine`` to completion on a :class:`MemoryLoop`; return its result."""
     with asyncio.Runner(loop_factory=MemoryLoop) as runner:
         return runner.run(coroutine)
 
 
 def in_memory(test):
-    """Run an ``async`` test in virtual time with a network in memory."""
+    """Run an ``async`` test in virtual time with an in-memory network."""
 
     @functools.wraps(test)
     def run(*args, **kwargs):
--- a/boragegw/standins/_wire_backend.py
+++ b/boragegw/standins/_wire_backend.py
@@ -1,4 +1,4 @@
-"""A stand-in of a backend server that speaks the users' platform's wire."""
+"""A stand-in for a backend server that speaks the platform's wire protocol."""
 
 import asyncio
 import dataclasses
@@ -9,19 +9,21 @@
 
 @dataclasses.dataclass(slots=True)
 class WireFaults:
-    """What goes wrong.
+    """Faults that a backend server injects.
 
-    :param not_executed_status: refuse requests as not run, with this status.
+    :param not_executed_status: if set, refuse requests with this status and mark them
+        as not executed.
     :param not_executed_share: share of the requests that are refused then.
     :param reset_after_run: run requests and reset the connection.
     :param reset_before_run: reset the connection when a request arrives.
-    :param silent: never answer requests.
-    :param status: status of answers to requests.
-    :param duplicate_responses: send each answer once more, before the next one.
-    :param truncate_responses: break answers off half way.
-    :param healthy: the health check passes.
+    :param silent: run requests and send no response.
+    :param status: status of responses to requests.
+    :param duplicate_responses: repeat each response in front of the next one.
+    :param truncate_responses: send half of the body and close the connection.
+    :param omit_content_length: end the body by closing the connection.
+    :param healthy: whether health checks pass.
+    :param warm_up_ms: remaining warm-up in milliseconds that health checks report.
     :param crash_target: a request for this target crashes the server for two seconds.
-    :param warm_up_ms: milliseconds for which the health check says it stays cold.
     """
 
     not_executed_status: int = 0
@@ -39,12 +41,17 @@
 
 
 class WireBackend:
-    """One backend server.
+    """A backend server with injectable faults.
 
-    :param identity: its id; another one is answered with 421.
+    :param identity: id of the server. A request that expects another one gets status
+        421.
     :param service_seconds: seconds that a request takes.
-    :param load: text of its load report, empty if it tells none.
-    :param handshake_seconds: seconds that taking a new connection takes.
+    :param load: text of its load reports; it sends none if the text is empty.
+    :param handshake_seconds: seconds that accepting a connection takes.
+    :ivar runs: (request id, target, body) of each request that was run.
+    :ivar probes: number of health checks received.
+    :ivar cancelled: ids of requests whose run was cancelled.
+    :ivar deadlines: deadline in milliseconds of each request, by its id.
     """
 
     def __init__(
@@ -70,7 +77,7 @@
         self._connections = set()
 
     async def start(self):
-        """Listen."""
+        """Start to listen and return the server."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
             lambda: _BackendConnection(self), *self.address
@@ -78,27 +85,27 @@
         return self
 
     def stop(self):
-        """End as a crash does: connections are reset, new ones refused."""
+        """Stop as in a crash: reset all connections and refuse new ones."""
         self._listener.close()
         for connection in list(self._connections):
             connection.transport.abort()
 
     async def run(self):
-        """Work on one request."""
+        """Run one request."""
         await asyncio.sleep(self.service_seconds)
 
     def current_handshake_seconds(self):
-        """Return the seconds that a new connection takes now."""
+        """Return the seconds that accepting a connection takes now."""
         return self.handshake_seconds
 
     def crash(self):
-        """Crash and come back after two seconds."""
+        """Crash and restart after two seconds."""
         self.stop()
         loop = asyncio.get_running_loop()
         self._restart = loop.call_later(2.0, lambda: loop.create_task(self.start()))
 
     def entry(self, service, data_centre="dc-a", state="ready", seq=1, born=1000):
-        """Return its entry in the platform's store."""
+        """Return the value under which the platform's store lists this server."""
         host, port = self.address
         return {
             "address": f"{host}:{port}",
@@ -118,9 +125,9 @@
         self.backend = backend
         self.transport = None
         self.parser = httptools.HttpRequestParser(self)
-        self.late = b""
+        self.pending_duplicate = b""
         self.tasks = set()
-        self.known = False
+        self.handshake_done = False
 
     def connection_made(self, transport):
         self.transport = transport
@@ -155,28 +162,32 @@
 
     async def _handle(self):
         target = self.target
-        if not self.known:
-            self.known = True
+        if not self.handshake_done:
+            self.handshake_done = True
             await asyncio.sleep(self.backend.current_handshake_seconds())
-        await (self._health() if target == b"/health" else self._request())
+        await (
+            self._handle_health_check()
+            if target == b"/health"
+            else self._handle_request()
+        )
 
-    async def _health(self):
+    async def _handle_health_check(self):
         backend = self.backend
         backend.probes += 1
         status = 200 if backend.faults.healthy else 503
         headers = [("x-instance-id", backend.identity)]
         if backend.faults.warm_up_ms:
             headers.append(("x-warmup-ms", str(backend.faults.warm_up_ms)))
-        self._answer(status, headers, b"")
+        self._respond(status, headers, b"")
 
-    async def _request(self):
+    async def _handle_request(self):
         backend = self.backend
         faults = backend.faults
         request_id = self.headers.get(b"x-request-id", b"").decode()
-        echo = [("x-request-id", request_id)]
+        id_header = [("x-request-id", request_id)]
         expected = self.headers.get(b"x-expect-instance", b"").decode()
         if expected and expected != backend.identity:
-            self._answer(421, [*echo, ("x-instance-id", backend.identity)], b"")
+            self._respond(421, [*id_header, ("x-instance-id", backend.identity)], b"")
             return
         if faults.reset_before_run:
             self.transport.abort()
@@ -185,8 +196,8 @@
             faults.not_executed_status
             and backend.random_state.random() < faults.not_executed_share
         ):
-            self._answer(
-                faults.not_executed_status, [*echo, ("x-not-executed", "1")], b""
+            self._respond(
+                faults.not_executed_status, [*id_header, ("x-not-executed", "1")], b""
             )
             return
         if faults.crash_target and self.target == faults.crash_target:
@@ -205,14 +216,14 @@
         if faults.reset_after_run:
             self.transport.abort()
             return
-        signed = [*echo, ("x-server-signature", f"sig-{request_id}")]
-        self._answer(faults.status, signed, backend.body)
+        headers = [*id_header, ("x-server-signature", f"sig-{request_id}")]
+        self._respond(faults.status, headers, backend.body)
 
-    def _answer(self, status, headers, body):
+    def _respond(self, status, headers, body):
         faults = self.backend.faults
-        late, self.late = self.late, b""
-        if late:
-            self.transport.write(late)
+        duplicate, self.pending_duplicate = self.pending_duplicate, b""
+        if duplicate:
+            self.transport.write(duplicate)
         lines = [f"HTTP/1.1 {status} Text"]
         if self.backend.load:
             lines.append(f"x-backend-load: {self.backend.load}")
@@ -228,4 +239,4 @@
         if faults.omit_content_length:
             self.transport.close()
         if faults.duplicate_responses and body:
-            self.late = head + body
+            self.pending_duplicate = head + body
--- a/boragegw/standins/_wire_http.py
+++ b/boragegw/standins/_wire_http.py
@@ -1,7 +1,7 @@
-"""HTTP connections of stand-ins that answer one request after the other.
+"""A minimal HTTP server for stand-ins, which serves requests in order.
 
-They share no code with the product's own connections, so that a fault of those does
-not show on both sides and cancel out.
+It shares no code with the gateway's own connections. Otherwise, a defect in shared code
+would affect both sides, cancel out and stay unnoticed.
 """
 
 import asyncio
@@ -10,10 +10,10 @@
 import httptools
 
 
-class WireConnection(asyncio.Protocol):
-    """One connection.
+class HttpServerConnection(asyncio.Protocol):
+    """A server connection that handles one request at a time.
 
-    :param handler: coroutine function from a request's target (bytes) to a
+    :param handler: coroutine function from the target of a request (bytes) to a
         :class:`~boragegw.gateway.EndpointResponse`.
     """
 
@@ -22,47 +22,50 @@
         self._transport = None
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
-        self._waiting = collections.deque()
-        self._answering = None
+        self._queued_targets = collections.deque()
+        self._serving_task = None
 
     def connection_made(self, transport):
-        """Take the transport."""
+        """Store the transport."""
         self._transport = transport
 
     def data_received(self, data):
-        """Parse what has arrived."""
+        """Parse received bytes."""
         self._parser.feed_data(data)
 
     def connection_lost(self, exc):
-        """Work on nothing more."""
-        self._waiting.clear()
-        if self._answering is not None:
-            self._answering.cancel()
+        """Discard queued requests and cancel the current one."""
+        self._queued_targets.clear()
+        if self._serving_task is not None:
+            self._serving_task.cancel()
 
     def on_message_begin(self):
-        """Start a request."""
+        """Start to collect the target of a request."""
         self._target = b""
 
     def on_url(self, url):
-        """Collect the target, which may come in pieces."""
+        """Append to the target, which may arrive in several parts."""
         self._target += url
 
     def on_message_complete(self):
-        """Answer the request once those before it are answered."""
-        self._waiting.append(self._target)
-        if self._answering is None:
+        """Queue the request behind those received before it."""
+        self._queued_targets.append(self._target)
+        if self._serving_task is None:
             loop = asyncio.get_running_loop()
-            self._answering = loop.create_task(self._answer_all())
+            self._serving_task = loop.create_task(self._serve_queued())
 
-    async def _answer_all(self):
-        while self._waiting:
-            reply = await self.handler(self._waiting.popleft())
-            head = f"HTTP/1.1 {reply.status} Reply\r\ncontent-length: {len(reply.body)}"
-            self._transport.write(head.encode() + b"\r\n\r\n" + reply.body)
-        self._answering = None
+    async def _serve_queued(self):
+        while self._queued_targets:
+            response = await self.handler(self._queued_targets.popleft())
+            head = (
+                f"HTTP/1.1 {response.status} Reply\r\n"
+                f"content-length: {len(response.body)}"
+            )
+            self._transport.write(head.encode() + b"\r\n\r\n" + response.body)
+        self._serving_task = None
 
 
-async def listen(handler, address):
-    """Accept connections on ``(host, port)`` and return the listener."""
+async def start_server(handler, address):
+    """Listen on ``(host, port)`` and return the listener."""
     loop = asyncio.get_running_loop()
-    return await loop.create_server(lambda: WireConnection(handler), *address)
+    return await loop.create_server(lambda: HttpServerConnection(handler), *address)
--- a/boragegw/standins/_wire_load.py
+++ b/boragegw/standins/_wire_load.py
@@ -1,4 +1,4 @@
-"""Callers under load in memory: what they get, and when."""
+"""A load generator for an in-memory installation; measures outcomes and latency."""
 
 import asyncio
 import dataclasses
@@ -6,19 +6,19 @@
 
 from boragegw.standins import _wire_noise, _wire_world
 
-#: Path prefix of the more urgent route.
-URGENT = "urgent/"
-#: Seconds within which an answer counts as in time.
-TARGET = 0.25
-#: Seconds for which a caller waits altogether.
-PATIENCE = 1.2
-#: Times that a caller asks.
-TRIES = 2
+#: Path prefix of the high-priority route.
+HIGH_PRIORITY_PREFIX = "urgent/"
+#: A response within this latency counts as in time.
+TARGET_LATENCY_SECONDS = 0.25
+#: Total time for which a caller waits, over all its attempts.
+CALLER_TIMEOUT_SECONDS = 1.2
+#: Attempts of a caller, the first one included.
+MAX_CALLER_ATTEMPTS = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutcomeShares:
-    """Shares of the callers that were answered in time, late, and not at all."""
+    """Shares of the callers with a response in time, a late one, and none."""
 
     in_time: float
     late: float
@@ -33,10 +33,10 @@
     seed=1,
     policies=None,
 ):
-    """Return a settled installation of backend servers with noisy neighbours.
+    """Return a started installation of backend servers with noisy neighbours.
 
     :param backend_class: class of the backend servers.
-    :param route_type: of the usual route; the more urgent one is ``safe``.
+    :param route_type: type of the normal route; the high-priority route is ``safe``.
     :param policies: see :class:`~boragegw.balancing.PolicySettings`.
     """
     installation = _wire_world.WireInstallation(seed)
@@ -44,8 +44,12 @@
     route = installation.route
     installation.publish(
         [
-            route("/", route_type, target_latency_s=TARGET, priority=2),
-            route(f"/{URGENT}", target_latency_s=TARGET, priority=1),
+            route("/", route_type, target_latency_s=TARGET_LATENCY_SECONDS, priority=2),
+            route(
+                f"/{HIGH_PRIORITY_PREFIX}",
+                target_latency_s=TARGET_LATENCY_SECONDS,
+                priority=1,
+            ),
         ]
     )
     for number in range(backends):
@@ -60,11 +64,14 @@
 
 
 class LoadGenerator:
-    """Callers that come at random and ask once more elsewhere if told to come back.
+    """Generates calls with exponential inter-arrival times.
 
-    :param installation: a :class:`WireInstallation`.
-    :param per_second: callers a second.
-    :param high_priority_share: share of them on the more urgent route.
+    A caller that gets no response with status 200 waits for the time in ``Retry-After``
+    and retries on a random gateway process.
+
+    :param installation: a :class:`~boragegw.standins.WireInstallation`.
+    :param per_second: mean number of callers per second.
+    :param high_priority_share: share of the callers on the high-priority route.
     """
 
     def __init__(self, installation, per_second, high_priority_share=0.0, seed=7):
@@ -74,40 +81,52 @@
         self.random_state = random.Random(seed)
 
     async def run(self, seconds=6.0):
-        """Return the :class:`OutcomeShares` of normal and of high priority."""
-        usual, urgent = [], []
+        """Return the :class:`OutcomeShares` of normal- and high-priority callers."""
+        normal_tasks, high_priority_tasks = [], []
         for number in range(int(self.per_second * seconds)):
             await asyncio.sleep(self.random_state.expovariate(self.per_second))
-            is_urgent = self._is_urgent(number)
-            path = f"/{URGENT if is_urgent else ''}{number}"
+            is_high_priority = self._is_high_priority(number)
+            path = f"/{HIGH_PRIORITY_PREFIX if is_high_priority else ''}{number}"
             task = asyncio.create_task(self._call(path))
-            (urgent if is_urgent else usual).append(task)
-        return outcome_shares(await asyncio.gather(*usual)), outcome_shares(
-            await asyncio.gather(*urgent)
+            (high_priority_tasks if is_high_priority else normal_tasks).append(task)
+        return outcome_shares(await asyncio.gather(*normal_tasks)), outcome_shares(
+            await asyncio.gather(*high_priority_tasks)
         )
 
-    def _is_urgent(self, number):
+    def _is_high_priority(self, number):
         return int((number + 1) * self.high_priority_share) > int(
             number * self.high_priority_share
         )
 
     async def _call(self, path):
-        """Return the seconds until the answer, or ``None``."""
+        """Return the seconds until the successful response, or ``None``."""
         loop = asyncio.get_running_loop()
         started = loop.time()
-        for _ in range(TRIES):
-            left = round(1000 * (PATIENCE - (loop.time() - started)))
-            to = self.random_state.choice(sorted(self.installation.processes))
-            reply = await self.installation.call(path, to=to, x_deadline_ms=str(left))
-            if reply.status == 200:
+        for _ in range(MAX_CALLER_ATTEMPTS):
+            remaining_ms = round(
+                1000 * (CALLER_TIMEOUT_SECONDS - (loop.time() - started))
+            )
+            process = self.random_state.choice(sorted(self.installation.processes))
+            response = await self.installation.call(
+                path, to=process, x_deadline_ms=str(remaining_ms)
+            )
+            if response.status == 200:
                 return loop.time() - started
-            await asyncio.sleep(float(reply.headers.get("retry-after", "0.1")))
+            await asyncio.sleep(float(response.headers.get("retry-after", "0.1")))
         return None
 
 
-def outcome_shares(times):
-    """Return the :class:`OutcomeShares` of callers with these response times."""
-    count = max(1, len(times))
-    in_time = sum(time is not None and time <= TARGET for time in times) / count
-    refused = sum(time is None for time in times) / count
-    return OutcomeShares(in_time, 1.0 - in_time - refused if times else 0.0, refused)
+def outcome_shares(latencies):
+    """Return the :class:`OutcomeShares` of callers with these latencies."""
+    count = max(1, len(latencies))
+    in_time = (
+        sum(
+            latency is not None and latency <= TARGET_LATENCY_SECONDS
+            for latency in latencies
+        )
+        / count
+    )
+    refused = sum(latency is None for latency in latencies) / count
+    return OutcomeShares(
+        in_time, 1.0 - in_time - refused if latencies else 0.0, refused
+    )
--- a/boragegw/standins/_wire_noise.py
+++ b/boragegw/standins/_wire_noise.py
@@ -1,4 +1,4 @@
-"""A stand-in of a backend server that shares its machine with noisy neighbours."""
+"""A stand-in for a backend server whose speed varies due to noisy neighbours."""
 
 import asyncio
 
@@ -6,17 +6,18 @@
 
 
 class NoisyBackend(_wire_backend.WireBackend):
-    """A backend server with slots, whose pace changes many times a second.
+    """A backend server with a limited number of slots and a varying speed.
 
-    A request keeps the pace at which it begins. It takes longer by ``knee_factor`` if
-    it begins while more than ``knee_utilization`` of the slots are in use, and waits
-    while all are.
+    Its slowdown factor changes many times a second, and a request keeps the factor with
+    which it starts. A request that starts while the utilization of the slots is above
+    ``knee_utilization`` takes longer by ``knee_factor``. Requests are queued while all
+    slots are in use.
 
-    :param slow_period_share: share of the spells in which it is slow.
-    :param slow_period_factor: multiple of the usual time in a slow spell.
-    :param period_seconds: seconds between two changes of pace.
-    :param handshake_seconds: seconds to accept a connection at the usual pace.
-    :param omit_load_reports: it tells no load.
+    :param slow_period_share: probability that a period is slow.
+    :param slow_period_factor: slowdown factor in slow periods; it is 1 in the others.
+    :param period_seconds: mean length of a period.
+    :param handshake_seconds: seconds to accept a connection outside of slow periods.
+    :param omit_load_reports: whether to send no load reports.
     """
 
     def __init__(
@@ -46,50 +47,52 @@
         self.period_seconds = period_seconds
         self.knee_utilization = knee_utilization
         self.knee_factor = knee_factor
-        self._places = asyncio.Semaphore(slots)
+        self._free_slots = asyncio.Semaphore(slots)
         self._running = 0
-        self._waiting = 0
+        self._queued = 0
         self._period_ends_at = 0.0
-        self._pace = 1.0
+        self._slowdown = 1.0
 
     @property
     def load(self):
-        """Text of its load report."""
+        """The text of its load reports."""
         if self.omit_load_reports:
             return ""
-        percent = round(100 * self._pace_now())
-        return f"{self._running},{self._waiting},{self.slots},{percent}"
+        percent = round(100 * self._current_slowdown())
+        return f"{self._running},{self._queued},{self.slots},{percent}"
 
     @load.setter
     def load(self, value):
-        """Ignore the fixed text of a server without noise."""
+        """Ignore the constant text that the base class sets."""
 
-    def _pace_now(self):
+    def _current_slowdown(self):
         now = asyncio.get_running_loop().time()
         if now >= self._period_ends_at:
             slow = self.random_state.random() < self.slow_period_share
-            self._pace = self.slow_period_factor if slow else 1.0
+            self._slowdown = self.slow_period_factor if slow else 1.0
             self._period_ends_at = (
                 now + self.period_seconds * self.random_state.uniform(0.5, 1.5)
             )
-        return self._pace
+        return self._slowdown
 
     def current_handshake_seconds(self):
-        """Return the seconds that a new connection takes now."""
-        return self.handshake_seconds * self._pace_now()
+        """Return the seconds that accepting a connection takes now."""
+        return self.handshake_seconds * self._current_slowdown()
 
     async def run(self):
-        """Take a slot and work."""
-        self._waiting += 1
+        """Run one request once a slot is free."""
+        self._queued += 1
         try:
-            await self._places.acquire()
+            await self._free_slots.acquire()
         finally:
-            self._waiting -= 1
+            self._queued -= 1
         self._running += 1
         try:
-            past_knee = self._running > self.knee_utilization * self.slots
-            factor = self.knee_factor if past_knee else 1.0
-            await asyncio.sleep(self.service_seconds * self._pace_now() * factor)
+            is_past_knee = self._running > self.knee_utilization * self.slots
+            factor = self.knee_factor if is_past_knee else 1.0
+            await asyncio.sleep(
+                self.service_seconds * self._current_slowdown() * factor
+            )
         finally:
             self._running -= 1
-            self._places.release()
+            self._free_slots.release()
--- a/boragegw/standins/_wire_store.py
+++ b/boragegw/standins/_wire_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' platform store, in its published form."""
+"""A stand-in for the platform's store that serves its published HTTP interface."""
 
 import asyncio
 import base64
@@ -10,12 +10,15 @@
 
 
 class WireStore:
-    """Keys with revisions, ranges in pages, watches.
-
-    :param page_size: items in a page.
-    :param status: answers each call with this status instead, if set.
-    :param hang: answers nothing while set.
-    :param stall_watches: watches begun while set get no events before timeout.
+    """A key-value store with revisions, paged range reads and watches.
+
+    :param page_size: maximum number of items in a page of a range read.
+    :ivar status: if set, status of the responses to all calls.
+    :ivar hang: while set, calls get no response.
+    :ivar stall_watches: watches that start while this is set get no events before
+        they time out.
+    :ivar calls: number of calls received.
+    :ivar compacted_revision: a watch from before this revision gets status 410.
     """
 
     def __init__(self, address=("store", 1), page_size=500):
@@ -32,11 +35,11 @@
         self._changed = asyncio.Event()
 
     async def start(self):
-        """Listen."""
-        return await _wire_http.listen(self._handle, self.address)
+        """Start to listen and return the listener."""
+        return await _wire_http.start_server(self._handle, self.address)
 
     def put(self, key, value):
-        """Write ``value``: bytes, or what is then sent as JSON."""
+        """Write ``value``; if it is not bytes, it is encoded as JSON."""
         if not isinstance(value, bytes):
             value = json.dumps(value).encode()
         self.revision += 1
@@ -44,20 +47,20 @@
         item = {"key": key, "value": text, "rev": self.revision, "lease": 0}
         item["created"] = self.revision
         self._items[key] = item
-        self._note(item)
+        self._append_event(item)
 
     def delete(self, key):
         """Delete a key."""
         self.revision += 1
         self._items.pop(key, None)
-        self._note({"key": key, "rev": self.revision, "deleted": True})
+        self._append_event({"key": key, "rev": self.revision, "deleted": True})
 
     def compact(self):
-        """Answer watches from before now with 410."""
+        """Discard the history; watches from before the current revision get 410."""
         self._events.clear()
         self.compacted_revision = self.revision
 
-    def _note(self, event):
+    def _append_event(self, event):
         self._events.append(event)
         self._changed.set()
         self._changed = asyncio.Event()
@@ -82,7 +85,9 @@
         keys = sorted(k for k in self._items if k.startswith(prefix) and k > after)
         items = [self._items[key] for key in keys[: self.page_size]]
         more = len(keys) > self.page_size
-        return _json({"items": items, "has_more": more, "as_of": self.revision})
+        return _json_response(
+            {"items": items, "has_more": more, "as_of": self.revision}
+        )
 
     async def _watch(self, query):
         after = int(query["after"])
@@ -94,13 +99,13 @@
             if after < self.compacted_revision:
                 return gateway.EndpointResponse(410)
             events = [e for e in self._events if e["rev"] > after]
-            left = end - loop.time()
-            if events or left < 0.001:
-                return _json({"events": events, "as_of": self.revision})
+            remaining = end - loop.time()
+            if events or remaining < 0.001:
+                return _json_response({"events": events, "as_of": self.revision})
             changed = asyncio.ensure_future(self._changed.wait())
-            await asyncio.wait((changed,), timeout=left)
+            await asyncio.wait((changed,), timeout=remaining)
             changed.cancel()
 
 
-def _json(body):
+def _json_response(body):
     return gateway.EndpointResponse(200, json.dumps(body).encode())
--- a/boragegw/standins/_wire_world.py
+++ b/boragegw/standins/_wire_world.py
@@ -1,4 +1,4 @@
-"""Gateway processes, a store, backend servers and callers in memory."""
+"""An in-memory installation of gateway processes, a store and backend servers."""
 
 import asyncio
 import dataclasses
@@ -20,7 +20,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """What a caller got; ``status`` is 0 for a connection that ended without."""
+    """A response to a caller.
+
+    :param status: HTTP status, or 0 if the connection ended without a response.
+    :param seconds: time from the start of the connection until the end of the response.
+    """
 
     status: int
     headers: dict
@@ -29,11 +33,10 @@
 
 
 class WireInstallation:
-    """A small installation in memory.
+    """A small installation of the gateway on an in-memory network.
 
-    :param seed: seeds every process.
-
-    ``version`` is the number of the configuration that was published last.
+    :param seed: seeds the random state of every process.
+    :ivar version: number of the configuration that was published last.
     """
 
     def __init__(self, seed=1):
@@ -44,10 +47,13 @@
         self.processes = {}
         self.backends = {}
         self.version = 0
-        self._ids = 0
+        self._request_count = 0
 
     async def start(self, gateways=1, backends=3, data_centres=("dc-a",), **route):
-        """Start a store, a service ``app`` of backend servers, and gateways."""
+        """Start the store, servers of the service ``app`` and gateway processes.
+
+        :param route: arguments of :meth:`route` for the only route.
+        """
         await self.store.start()
         self.publish([self.route(**route)])
         for number in range(backends):
@@ -63,7 +69,7 @@
 
     @staticmethod
     def route(prefix="/", route_type="safe", service="app", timeout_s=2.0, **fields):
-        """Return a route as operators publish it."""
+        """Return a route in the published format."""
         return {
             "name": f"route {prefix}",
             "host": HOST_NAME,
@@ -78,7 +84,11 @@
         }
 
     def publish(self, routes, services=("app", "other"), version=None, **limits):
-        """Write a configuration."""
+        """Publish a configuration.
+
+        :param version: its number; by default, the last one increased by two.
+        :param limits: limits of the configuration, by their published names.
+        """
         self.version = self.version + 2 if version is None else version
         fields = {"health_path": "/health", "max_conns": 100, "warmup_s": 3.0}
         self.store.put(
@@ -93,7 +103,7 @@
             },
         )
 
-    # Programs.
+    # Servers.
 
     async def add_backend(
         self,
@@ -103,7 +113,10 @@
         backend_class=_wire_backend.WireBackend,
         **fields,
     ):
-        """Start a backend server of class ``backend_class`` and list it."""
+        """Start a backend server of this class and list it in the store.
+
+        :param fields: further arguments of ``WireBackend.entry``.
+        """
         backend = backend_class(identity, (f"host-{identity}", 9000))
         await backend.start()
         self.backends[identity] = backend
@@ -114,10 +127,10 @@
     async def add_gateway(
         self, name, data_centre="dc-a", seeds=("gw-0",), limited=False, **fields
     ):
-        """Start a gateway process on a host of its own.
+        """Start a gateway process on its own host.
 
-        :param limited: whether the host's link has the rate that the settings state.
-        :param fields: further ones of :class:`~boragegw.gateway.GatewaySettings`.
+        :param limited: whether the host's link is limited to the rate of the settings.
+        :param fields: further arguments of :class:`~boragegw.gateway.GatewaySettings`.
         """
         settings = platform.PlatformSettings(
             gateway=gateway.GatewaySettings(
@@ -154,41 +167,50 @@
     # Callers.
 
     async def call(self, path="/x", method="GET", body=b"", to="gw-0", **fields):
-        """Send one request as a caller does and return its :class:`Response`."""
-        self._ids += 1
-        headers = {"x-request-id": f"id-{self._ids}", "x-deadline-ms": "1500"}
+        """Send a request to a gateway process and return the :class:`Response`.
+
+        :param to: name of the gateway process.
+        :param fields: headers, with underscores for hyphens.
+        """
+        self._request_count += 1
+        headers = {"x-request-id": f"id-{self._request_count}", "x-deadline-ms": "1500"}
         headers.update({k.replace("_", "-"): v for k, v in fields.items()})
         return await self.send_request((to, CALLER_PORT), path, method, body, headers)
 
     async def send_request(self, address, path, method="GET", body=b"", headers=None):
-        """Send one request to any address."""
+        """Send a request to any address and return the :class:`Response`."""
         started = self.loop.time()
         client = gateway.UpstreamConnection(self.loop.time)
         try:
             await self.loop.create_connection(lambda: client, *address)
-            answer = await client.start(
+            response = await client.start(
                 encode_request(path, method, body, headers or {}), lambda _: True
             )
             received = b""
-            while not (answer.complete and not answer.body):
-                received += answer.take()
-                if answer.error is not None:
-                    raise answer.error
-                if not answer.complete:
-                    await answer.changed()
+            while not (response.complete and not response.body):
+                received += response.take()
+                if response.error is not None:
+                    raise response.error
+                if not response.complete:
+                    await response.changed()
         except (gateway.ExchangeError, OSError):
             return Response(0, {}, b"", self.loop.time() - started)
-        found = {k.decode(): v.decode() for k, v in answer.headers}
-        return Response(answer.status, found, received, self.loop.time() - started)
+        response_headers = {k.decode(): v.decode() for k, v in response.headers}
+        return Response(
+            response.status, response_headers, received, self.loop.time() - started
+        )
 
     def runs(self, path=None):
-        """Return the (id, target, body) of every run on any backend server."""
+        """Return (request id, target, body) of each run on any backend server.
+
+        :param path: if given, return only the runs of requests for this path.
+        """
         runs = [run for backend in self.backends.values() for run in backend.runs]
         return [run for run in runs if path is None or run[1].decode() == path]
 
 
 def encode_request(path, method="GET", body=b"", headers=None, host=HOST_NAME):
-    """Return the bytes of a request."""
+    """Return the bytes of an HTTP/1.1 request."""
     headers = {"host": host, **(headers or {})}
     lines = [f"{method} {path} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
--- a/boragegw/standins/tests/test_links.py
+++ b/boragegw/standins/tests/test_links.py
@@ -1,4 +1,4 @@
-"""The network in memory takes as long as the hosts' links need."""
+"""Transfer times over bandwidth-limited links of the in-memory network."""
 
 import asyncio
 
@@ -8,15 +8,15 @@
 
 in_memory = standins.in_memory
 
-#: Bytes of a transfer, and the rate of a link in Mbit/s: one takes a second.
-SIZE = 1_000_000
-RATE = 8.0
-#: Seconds that the delay of the network, one segment and a window may add.
-MARGIN = 0.08
+#: A transfer of this size over a link of this rate takes one second.
+SIZE_BYTES = 1_000_000
+RATE_MBPS = 8.0
+#: Time that the delay of the network, one segment and one window may add.
+MARGIN_SECONDS = 0.08
 
 
 class Receiver(asyncio.Protocol):
-    """Notes what arrives and when; aborts after ``limit`` bytes."""
+    """Records received data and times; aborts after ``limit`` bytes."""
 
     def __init__(self, limit=None):
         self.loop = asyncio.get_running_loop()
@@ -42,7 +42,7 @@
 
 
 class Sender(asyncio.Protocol):
-    """Sends its data as soon as it is connected and closes."""
+    """Sends its data once connected, then closes the connection."""
 
     def __init__(self, data):
         self.data = data
@@ -52,8 +52,11 @@
         transport.close()
 
 
-async def transfer(*receivers, data=bytes(SIZE), to="here"):
-    """Begin a transfer to each receiver; return the seconds when they began."""
+async def start_transfers(*receivers, data=bytes(SIZE_BYTES), to="here"):
+    """Start a transfer to each receiver and return the time of the start.
+
+    :param to: host of the receivers.
+    """
     loop = asyncio.get_running_loop()
     await loop.create_server(lambda: Sender(data), "there", 1)
     for receiver in receivers:
@@ -63,62 +66,62 @@
 
 
 @in_memory
-async def test_without_links_all_arrives_at_once_after_the_delay():
+async def test_transfer_without_links_takes_only_the_delay():
     network = asyncio.get_running_loop().network
     receiver = Receiver()
-    started = await transfer(receiver)
+    started = await start_transfers(receiver)
     await asyncio.sleep(1.0)
-    assert len(receiver.received) == SIZE
+    assert len(receiver.received) == SIZE_BYTES
     assert receiver.ended_at == pytest.approx(started + network.delay)
 
 
 @pytest.mark.parametrize("host", ("here", "there"))
 @in_memory
-async def test_transfer_takes_what_the_slower_link_needs(host):
+async def test_slower_link_determines_the_time_of_a_transfer(host):
     network = asyncio.get_running_loop().network
-    network.set_link("here", 10 * RATE)
-    network.set_link("there", 10 * RATE)
-    network.set_link(host, RATE)
-    data = b"".join(b"%9d\n" % number for number in range(SIZE // 10))
+    network.set_link("here", 10 * RATE_MBPS)
+    network.set_link("there", 10 * RATE_MBPS)
+    network.set_link(host, RATE_MBPS)
+    data = b"".join(b"%9d\n" % number for number in range(SIZE_BYTES // 10))
     receiver = Receiver()
-    started = await transfer(receiver, data=data)
+    started = await start_transfers(receiver, data=data)
     await asyncio.sleep(3.0)
     assert bytes(receiver.received) == data
-    assert started + 1.0 <= receiver.ended_at <= started + 1.0 + MARGIN
+    assert started + 1.0 <= receiver.ended_at <= started + 1.0 + MARGIN_SECONDS
 
 
 @in_memory
 async def test_transfers_share_a_link_fairly():
-    asyncio.get_running_loop().network.set_link("here", RATE)
+    asyncio.get_running_loop().network.set_link("here", RATE_MBPS)
     receivers = [Receiver() for _ in range(5)]
-    started = await transfer(*receivers)
+    started = await start_transfers(*receivers)
     await asyncio.sleep(10.0)
     for receiver in receivers:
-        assert len(receiver.received) == SIZE
-        assert receiver.ended_at == pytest.approx(started + 5.0, abs=2 * MARGIN)
+        assert len(receiver.received) == SIZE_BYTES
+        assert receiver.ended_at == pytest.approx(started + 5.0, abs=2 * MARGIN_SECONDS)
 
 
 @in_memory
 async def test_aborted_transfer_frees_the_link():
-    asyncio.get_running_loop().network.set_link("there", RATE)
-    aborting, receiver = Receiver(limit=SIZE // 10), Receiver()
-    started = await transfer(aborting, receiver)
+    asyncio.get_running_loop().network.set_link("there", RATE_MBPS)
+    aborting, receiver = Receiver(limit=SIZE_BYTES // 10), Receiver()
+    started = await start_transfers(aborting, receiver)
     await asyncio.sleep(3.0)
-    assert len(receiver.received) == SIZE
-    assert receiver.ended_at <= started + 1.1 + 2 * MARGIN
+    assert len(receiver.received) == SIZE_BYTES
+    assert receiver.ended_at <= started + 1.1 + 2 * MARGIN_SECONDS
 
 
 @in_memory
-async def test_reset_does_not_wait_behind_data():
+async def test_reset_is_not_queued_behind_data():
     loop = asyncio.get_running_loop()
-    loop.network.set_link("caller", RATE)
+    loop.network.set_link("caller", RATE_MBPS)
     receiver = Receiver()
     await loop.create_server(lambda: receiver, "there", 1)
     transport, _ = await loop.create_connection(asyncio.Protocol, "there", 1)
-    transport.write(bytes(SIZE))
+    transport.write(bytes(SIZE_BYTES))
     started = loop.time()
     await asyncio.sleep(0.1)
     transport.abort()
     await asyncio.sleep(1.0)
     assert receiver.lost_at == pytest.approx(started + 0.1 + loop.network.delay)
-    assert len(receiver.received) <= SIZE // 10
+    assert len(receiver.received) <= SIZE_BYTES // 10
