--- a/boragegw/standins/_links.py
+++ b/boragegw/standins/_links.py
@@ -58,7 +58,7 @@
         self.endpoint = endpoint
         self._pending = collections.deque()
         self._propagating = collections.deque()
-        self._in_flight = 0
+        self._in_flight_bytes = 0
 
     def send(self, kind, data):
         """Queue ``data``; ``None`` marks the end of this direction."""
@@ -75,12 +75,12 @@
         self._pending.clear()
 
     def _fill_window(self):
-        while self._pending and self._in_flight < WINDOW_BYTES:
+        while self._pending and self._in_flight_bytes < WINDOW_BYTES:
             if self.endpoint.peer is None or self.endpoint.peer.is_lost():
                 self.discard_pending()
                 return
             segment = self._pending.popleft()
-            self._in_flight += segment[2]
+            self._in_flight_bytes += segment[2]
             link = self.network.outgoing_link(self.endpoint.local[0])
             self._transmit(link, segment, self._propagate)
 
@@ -102,7 +102,7 @@
 
     def _deliver(self, segment):
         kind, data, size = segment
-        self._in_flight -= size
+        self._in_flight_bytes -= size
         peer = self.endpoint.peer
         if self.endpoint.reaches_peer():
             self.network.loop.call_soon(peer.receive, kind, data, context=peer.context)
--- a/boragegw/standins/_memory_network.py
+++ b/boragegw/standins/_memory_network.py
@@ -230,9 +230,9 @@
 
     def blackhole_connections(self, host):
         """Drop the traffic of all open connections of ``host``; new ones work."""
-        for near, far in self.connections:
-            if host in (near.local[0], far.local[0]):
-                near.blackholed = far.blackholed = True
+        for client, server in self.connections:
+            if host in (client.local[0], server.local[0]):
+                client.blackholed = server.blackholed = True
 
     def send_datagram(self, source, target, data):
         """Deliver a datagram unless traffic to its target is cut."""
@@ -263,14 +263,14 @@
         if server_factory is None:
             raise ConnectionRefusedError(f"nothing listens on {target}")
         protocol = factory()
-        near = MemoryTransport(self.loop, protocol, (source, 0), target)
+        client = MemoryTransport(self.loop, protocol, (source, 0), target)
         server_protocol = server_factory()
-        far = MemoryTransport(self.loop, server_protocol, target, (source, 0))
-        near.peer, far.peer = far, near
-        self.connections.append((near, far))
-        far.context.run(server_protocol.connection_made, far)
-        protocol.connection_made(near)
-        return near, protocol
+        server = MemoryTransport(self.loop, server_protocol, target, (source, 0))
+        client.peer, server.peer = server, client
+        self.connections.append((client, server))
+        server.context.run(server_protocol.connection_made, server)
+        protocol.connection_made(client)
+        return client, protocol
 
 
 class MemoryLoop(utils.VirtualTimeLoop):
