--- a/boragegw/platform/tests/test_slow_sources.py
+++ b/boragegw/platform/tests/test_slow_sources.py
@@ -8,7 +8,7 @@
 from boragegw.gateway import _sources
 from boragegw.gateway.tests import test_catalogue, test_replication
 from boragegw.platform.tests import test_large_configuration, test_sources
-from boragegw.standins import _wire_store, _wire_world
+from boragegw.standins import _wire_installation, _wire_store
 
 in_memory = standins.in_memory
 
@@ -162,7 +162,10 @@
     ]
     await asyncio.sleep(0.5)
     for near, _ in installation.network.connections:
-        if near.remote == ("gw-0", _wire_world.CALLER_PORT) and not near.is_lost():
+        if (
+            near.remote == ("gw-0", _wire_installation.CALLER_PORT)
+            and not near.is_lost()
+        ):
             near.abort()
     await asyncio.sleep(2.0)
     assert all(call.done() for call in calls)
--- a/boragegw/standins/__init__.py
+++ b/boragegw/standins/__init__.py
@@ -4,13 +4,20 @@
 from boragegw.standins._caller import Caller, CallerAnswer
 from boragegw.standins._fleet import LocalFleet
 from boragegw.standins._history import AnswerEvent, violations
+from boragegw.standins._load_generator import (
+    LoadGenerator,
+    OutcomeShares,
+    start_noisy_installation,
+)
 from boragegw.standins._memory_network import (
     CURRENT_HOST,
     MemoryLoop,
     in_memory,
     run_in_memory,
 )
+from boragegw.standins._noisy_backend import NoisyBackend
 from boragegw.standins._platform import PublishedState, StandinPlatform
+from boragegw.standins._route_generator import generate_routes
 from boragegw.standins._virtual_backend import RunEvent, VirtualBackend, VirtualFaults
 from boragegw.standins._virtual_fleet import ServiceShape, VirtualFleet
 from boragegw.standins._virtual_network import (
@@ -20,20 +27,13 @@
 )
 from boragegw.standins._virtual_transport import VirtualTransport
 from boragegw.standins._wire_backend import WireBackend, WireFaults
-from boragegw.standins._wire_load import (
-    LoadGenerator,
-    OutcomeShares,
-    start_noisy_installation,
-)
-from boragegw.standins._wire_noise import NoisyBackend
-from boragegw.standins._wire_routes import generate_routes
-from boragegw.standins._wire_store import WireStore
-from boragegw.standins._wire_world import (
+from boragegw.standins._wire_installation import (
     PEER_PORT,
     STORE_ADDRESS,
     WireInstallation,
     encode_request,
 )
+from boragegw.standins._wire_store import WireStore
 
 __all__ = [
     "CURRENT_HOST",
--- a/boragegw/standins/_wire_load.py
+++ b/boragegw/standins/_load_generator.py
@@ -4,7 +4,7 @@
 import dataclasses
 import random
 
-from boragegw.standins import _wire_noise, _wire_world
+from boragegw.standins import _noisy_backend, _wire_installation
 
 #: Path prefix of the high-priority route.
 HIGH_PRIORITY_PREFIX = "urgent/"
@@ -28,7 +28,7 @@
 async def start_noisy_installation(
     backends=6,
     gateways=4,
-    backend_class=_wire_noise.NoisyBackend,
+    backend_class=_noisy_backend.NoisyBackend,
     route_type="safe",
     seed=1,
     policies=None,
@@ -39,7 +39,7 @@
     :param route_type: type of the normal route; the high-priority route is ``safe``.
     :param policies: see :class:`~boragegw.balancing.PolicySettings`.
     """
-    installation = _wire_world.WireInstallation(seed)
+    installation = _wire_installation.WireInstallation(seed)
     await installation.store.start()
     route = installation.route
     installation.publish(
--- a/boragegw/standins/_wire_store.py
+++ b/boragegw/standins/_wire_store.py
@@ -6,7 +6,7 @@
 import urllib.parse
 
 from boragegw import gateway
-from boragegw.standins import _wire_http
+from boragegw.standins import _http_server
 
 
 class WireStore:
@@ -36,7 +36,7 @@
 
     async def start(self):
         """Start to listen and return the listener."""
-        return await _wire_http.start_server(self._handle, self.address)
+        return await _http_server.start_server(self._handle, self.address)
 
     def put(self, key, value):
         """Write ``value``; if it is not bytes, it is encoded as JSON."""
