--- a/boragegw/platform/tests/test_delayed_reports.py
+++ b/boragegw/platform/tests/test_delayed_reports.py
@@ -17,7 +17,7 @@
 class Installation:
     """Processes that know from report 9 that the server ``i-0`` is draining.
 
-    :param world: a started :class:`~boragegw.standins.WireWorld`.
+    :param world: a started :class:`~boragegw.standins.WireInstallation`.
     """
 
     def __init__(self, world):
@@ -26,7 +26,7 @@
 
     @classmethod
     async def start(cls, processes=2, data_centres=("dc-a",)):
-        world = standins.WireWorld()
+        world = standins.WireInstallation()
         await world.start(gateways=processes, data_centres=data_centres)
         await asyncio.sleep(3.0)
         installation = cls(world)
@@ -60,7 +60,7 @@
             if address[0] == name:
                 del self.world.network.listeners[address]
         process.membership._transport.close()
-        self.world.network.silence(name)
+        self.world.network.blackhole_connections(name)
         await asyncio.sleep(4.0)
 
     def draining(self):
