--- a/benchmarks/_rollout_fleet.py
+++ b/benchmarks/_rollout_fleet.py
@@ -27,25 +27,29 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Spread:
-    """How one publication has reached all processes.
-
-    :param half: seconds until half of them had it; also ``nine_in_ten``, ``all``.
-    :param received: median of the bytes of answers that a process received.
-    :param most_received: the most that one received which does not watch the store.
-    :param watcher_received: the most that one received which watches the store.
-    :param most_sent: bytes of answers that the busiest process sent.
-    :param sources_left: sources that were given up for another one.
-    :param store_calls: calls to the store.
+class PropagationResult:
+    """Time and cost of propagating a publication to all processes.
+
+    :param p50_seconds: seconds until half of the processes had the publication.
+    :param p90_seconds: seconds until nine in ten of them had it.
+    :param max_seconds: seconds until all of them had it; infinite if one never did.
+    :param median_received_bytes: median over the processes of the response bytes that
+        a process received.
+    :param max_received_bytes: maximum over the processes that do not watch the store.
+    :param max_watcher_received_bytes: maximum over the processes that watch the store.
+    :param max_sent_bytes: maximum over the processes of the response bytes that a
+        process sent.
+    :param sources_left: number of times that a process left its source for another.
+    :param store_calls: number of calls to the store.
     """
 
-    half: float
-    nine_in_ten: float
-    all: float
-    received: float
-    most_received: int
-    watcher_received: int
-    most_sent: int
+    p50_seconds: float
+    p90_seconds: float
+    max_seconds: float
+    median_received_bytes: float
+    max_received_bytes: int
+    max_watcher_received_bytes: int
+    max_sent_bytes: int
     sources_left: int
     store_calls: int
 
@@ -116,9 +120,9 @@
         await asyncio.sleep(SETTLING)
 
     async def publish(self, *versions):
-        """Publish lists of routes one after the other; return the :class:`Spread`.
+        """Publish lists of routes in turn and return the :class:`PropagationResult`.
 
-        Seconds count from the last one, bytes and calls from the first.
+        Times count from the last publication, bytes and calls from the first.
         """
         self.check_interval = _rollout_replica.CHECK
         # The last look at the former interval has to be over.
@@ -169,16 +173,18 @@
         seconds += [math.inf] * (len(self.replicas) - len(seconds))
         watching = [replica.own.watches_store for replica in self.replicas]
         pairs = list(zip(costs, watching, strict=True))
-        return Spread(
-            half=_reached(seconds, 0.5),
-            nine_in_ten=_reached(seconds, 0.9),
-            all=seconds[-1],
-            received=statistics.median(cost.received for cost in costs),
-            most_received=max(cost.received for cost, watches in pairs if not watches),
-            watcher_received=max(
+        return PropagationResult(
+            p50_seconds=_reached(seconds, 0.5),
+            p90_seconds=_reached(seconds, 0.9),
+            max_seconds=seconds[-1],
+            median_received_bytes=statistics.median(cost.received for cost in costs),
+            max_received_bytes=max(
+                cost.received for cost, watches in pairs if not watches
+            ),
+            max_watcher_received_bytes=max(
                 (cost.received for cost, watches in pairs if watches), default=0
             ),
-            most_sent=max(cost.sent for cost in costs),
+            max_sent_bytes=max(cost.sent for cost in costs),
             sources_left=sum(cost.left for cost in costs),
             store_calls=sum(cost.calls for cost in costs),
         )
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -62,13 +62,13 @@
     decoding: float = 0.0
 
 
-def play(case):
-    """Return the fleet's ``Spread`` for each of :data:`PUBLISHED`."""
+def run_case(case):
+    """Return the ``PropagationResult`` of each of :data:`PUBLISHED`."""
     with _variant(case.variant):
-        return standins.run_in_memory(_play(case))
+        return standins.run_in_memory(_run_case(case))
 
 
-async def _play(case):
+async def _run_case(case):
     fleet = _rollout_fleet.Fleet(case)
     routes = standins.many_routes(case.routes, seed=case.seed)
     await fleet.start(routes[:1])
@@ -122,8 +122,9 @@
 def rows(case, spreads):
     """Yield the table's rows for the results of a case with several seeds.
 
-    :param spreads: what :func:`play` returned for each seed. A cell is their median;
-        of the seconds until all have it the least and the most.
+    :param spreads: return value of :func:`run_case` for each seed. A cell is the
+        median over seeds; the time until all processes have the publication is given
+        as minimum and maximum.
     """
     for index, what in enumerate(PUBLISHED):
         found = [each[index] for each in spreads]
@@ -132,13 +133,14 @@
             f"{case.routes}",
             case.variant,
             what,
-            f"{_median(found, 'half'):.2f}",
-            f"{_median(found, 'nine_in_ten'):.2f}",
-            f"{min(s.all for s in found):.2f} to {max(s.all for s in found):.2f}",
-            f"{_median(found, 'received'):,.0f}",
-            f"{_median(found, 'most_received'):,.0f}",
-            f"{_median(found, 'watcher_received'):,.0f}",
-            f"{_median(found, 'most_sent'):,.0f}",
+            f"{_median(found, 'p50_seconds'):.2f}",
+            f"{_median(found, 'p90_seconds'):.2f}",
+            f"{min(s.max_seconds for s in found):.2f} to "
+            f"{max(s.max_seconds for s in found):.2f}",
+            f"{_median(found, 'median_received_bytes'):,.0f}",
+            f"{_median(found, 'max_received_bytes'):,.0f}",
+            f"{_median(found, 'max_watcher_received_bytes'):,.0f}",
+            f"{_median(found, 'max_sent_bytes'):,.0f}",
             f"{_median(found, 'sources_left'):.0f}",
             f"{_median(found, 'store_calls'):.0f}",
         ]
@@ -167,7 +169,7 @@
 def _timed(case):
     """Return a case's results and the real seconds that they took."""
     started = time.monotonic()
-    return play(case), time.monotonic() - started
+    return run_case(case), time.monotonic() - started
 
 
 def main():
