--- a/benchmarks/_rollout_fleet.py
+++ b/benchmarks/_rollout_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of :mod:`benchmarks.rollout`: its links and its publications."""
+"""Simulated fleet for :mod:`benchmarks.rollout`: links, publications and results."""
 
 import asyncio
 import contextlib
@@ -10,20 +10,22 @@
 from benchmarks import _rollout_replica
 from boragegw import gateway, standins
 
-#: Seconds between a process's looks at its source while nothing is published.
-IDLE_CHECK = 1.0
-#: Seconds from the start of the machines with the fastest links to that of the others,
-#: from there until all follow, and at most before a publication, at random.
-HEAD_START = 1.5
-SETTLING = 3.0
-BEFORE = 1.0
-#: Seconds after which a publication has not arrived, and for which bytes and calls are
-#: counted on after all have it.
-GIVE_UP = 30.0
-AFTER = 1.0
-#: Seconds between publications in quick succession.
-BETWEEN = 0.1
-KEY = "op/config"
+#: Seconds between a process's checks of its source while nothing is published.
+IDLE_CHECK_INTERVAL_SECONDS = 1.0
+#: Seconds by which the processes with the fastest links start before the others, and
+#: seconds after that until all processes follow a source.
+FAST_START_LEAD_SECONDS = 1.5
+SETTLE_SECONDS = 3.0
+#: Maximum of the random delay before a publication, in seconds.
+MAX_PUBLICATION_DELAY_SECONDS = 1.0
+#: Seconds after which a publication counts as not received by the remaining processes.
+PROPAGATION_TIMEOUT_SECONDS = 30.0
+#: Seconds for which bytes and calls are still counted after all processes have the
+#: publication or the timeout has expired.
+COUNTING_TAIL_SECONDS = 1.0
+#: Seconds between consecutive publications.
+PUBLICATION_INTERVAL_SECONDS = 0.1
+CONFIGURATION_KEY = "op/config"
 
 
 @dataclasses.dataclass(frozen=True)
@@ -55,12 +57,11 @@
 
 
 class Fleet:
-    """Replicas in several data centres, and a store.
+    """A store and replicas of its records in several data centres.
 
     :param case: a :class:`benchmarks.rollout.Case`.
-
-    ``records`` are those of all replicas; ``check_interval`` is the seconds between a
-    replica's looks at its source.
+    :ivar shared_records: records of all replicas by key and revision.
+    :ivar check_interval: seconds between a replica's checks of its source.
     """
 
     def __init__(self, case):
@@ -68,9 +69,9 @@
         self.loop = asyncio.get_running_loop()
         self.random_state = random.Random(case.seed)
         self.store = standins.WireStore(standins.STORE)
-        self.gossip = _rollout_replica.Gossip(self._members())
-        self.records = {}
-        self.check_interval = IDLE_CHECK
+        self.gossip = _rollout_replica.SimulatedGossip(self._make_members())
+        self.shared_records = {}
+        self.check_interval = IDLE_CHECK_INTERVAL_SECONDS
         self.replicas = [
             _rollout_replica.Replica(
                 self, number, random.Random(f"{case.seed} {number}")
@@ -81,24 +82,24 @@
         self._all_arrived = asyncio.Event()
         self._tasks = [self.loop.create_task(self.gossip.run())]
 
-    def _members(self):
-        return [self._member(number) for number in range(self.case.processes)]
+    def _make_members(self):
+        return [self._make_member(number) for number in range(self.case.processes)]
 
-    def _member(self, number):
-        centre, place = (
+    def _make_member(self, number):
+        data_centre, index = (
             number % self.case.data_centres,
             number // self.case.data_centres,
         )
-        is_fast = place < len(self.case.fast)
-        usual = self.random_state.choice(self.case.usual)
+        is_fast = index < len(self.case.fast_links_mbps)
+        slow_link = self.random_state.choice(self.case.slow_links_mbps)
         name = f"gw-{number}"
-        link = self.case.fast[place] if is_fast else usual
+        link = self.case.fast_links_mbps[index] if is_fast else slow_link
         self.loop.network.set_link(name, link)
         return gateway.Member(
             name=name,
             incarnation=number,
             beat=0,
-            data_centre=f"dc-{centre}",
+            data_centre=f"dc-{data_centre}",
             caller_address=f"{name}:8548",
             peer_address=f"{name}:{standins.PEER_PORT}",
             life=gateway.Life.READY,
@@ -107,107 +108,119 @@
         )
 
     async def start(self, routes):
-        """Let all know a first configuration and follow.
+        """Publish a first configuration and start all replicas.
 
-        The fastest of each data centre begin, so that the others find them.
+        The replicas with the fastest links start first, so that the others find them.
         """
         await self.store.start()
-        self._put(routes)
-        fast = self.case.data_centres * len(self.case.fast)
-        self._run(self.replicas[:fast])
-        await asyncio.sleep(HEAD_START)
-        self._run(self.replicas[fast:])
-        await asyncio.sleep(SETTLING)
+        self._publish_routes(routes)
+        fast_count = self.case.data_centres * len(self.case.fast_links_mbps)
+        self._start_replicas(self.replicas[:fast_count])
+        await asyncio.sleep(FAST_START_LEAD_SECONDS)
+        self._start_replicas(self.replicas[fast_count:])
+        await asyncio.sleep(SETTLE_SECONDS)
 
     async def publish(self, *versions):
         """Publish lists of routes in turn and return the :class:`PropagationResult`.
 
         Times count from the last publication, bytes and calls from the first.
         """
-        self.check_interval = _rollout_replica.CHECK
-        # The last look at the former interval has to be over.
-        await asyncio.sleep(IDLE_CHECK + BEFORE * self.random_state.random())
-        before = [self._figures(replica) for replica in self.replicas]
+        self.check_interval = _rollout_replica.CHECK_INTERVAL_SECONDS
+        # Waits until every replica has made its last check at the longer interval.
+        await asyncio.sleep(
+            IDLE_CHECK_INTERVAL_SECONDS
+            + MAX_PUBLICATION_DELAY_SECONDS * self.random_state.random()
+        )
+        counts_before = [self._replica_counts(replica) for replica in self.replicas]
         for routes in versions[:-1]:
-            self._put(routes)
-            await asyncio.sleep(BETWEEN)
-        self._put(versions[-1])
+            self._publish_routes(routes)
+            await asyncio.sleep(PUBLICATION_INTERVAL_SECONDS)
+        self._publish_routes(versions[-1])
         started = self.loop.time()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._all_arrived.wait(), GIVE_UP)
-        self.check_interval = IDLE_CHECK
-        await asyncio.sleep(AFTER)
-        after = [self._figures(replica) for replica in self.replicas]
-        costs = [new - old for new, old in zip(after, before, strict=True)]
-        return self._spread(started, costs)
-
-    def note(self, replica):
-        """Note that a replica has adopted a change."""
+            await asyncio.wait_for(
+                self._all_arrived.wait(), PROPAGATION_TIMEOUT_SECONDS
+            )
+        self.check_interval = IDLE_CHECK_INTERVAL_SECONDS
+        await asyncio.sleep(COUNTING_TAIL_SECONDS)
+        counts_after = [self._replica_counts(replica) for replica in self.replicas]
+        costs = [
+            new - old for new, old in zip(counts_after, counts_before, strict=True)
+        ]
+        return self._propagation_result(started, costs)
+
+    def record_adoption(self, replica):
+        """Record the time at which a replica has adopted the latest revision."""
         if replica.catalogue.revision < self.store.revision:
             return
         self._arrived.setdefault(replica.own.name, self.loop.time())
         if len(self._arrived) == len(self.replicas):
             self._all_arrived.set()
 
-    def _run(self, replicas):
+    def _start_replicas(self, replicas):
         self._tasks += [self.loop.create_task(replica.run()) for replica in replicas]
 
-    def _put(self, routes):
+    def _publish_routes(self, routes):
         self._arrived.clear()
         self._all_arrived.clear()
         version = f"r{self.store.revision + 1}"
-        self.store.put(KEY, {"version": version, "routes": routes})
+        self.store.put(CONFIGURATION_KEY, {"version": version, "routes": routes})
 
     @staticmethod
-    def _figures(replica):
+    def _replica_counts(replica):
         counters = replica.board.counters
-        return Figures(
+        return ReplicaCounts(
             counters["sources.bytes"],
             replica.bytes_sent,
             counters["sources.left"],
             counters["store.calls"],
         )
 
-    def _spread(self, started, costs):
+    def _propagation_result(self, started, costs):
         seconds = sorted(at - started for at in self._arrived.values())
         seconds += [math.inf] * (len(self.replicas) - len(seconds))
         watching = [replica.own.watches_store for replica in self.replicas]
         pairs = list(zip(costs, watching, strict=True))
         return PropagationResult(
-            p50_seconds=_reached(seconds, 0.5),
-            p90_seconds=_reached(seconds, 0.9),
+            p50_seconds=_time_to_reach(seconds, 0.5),
+            p90_seconds=_time_to_reach(seconds, 0.9),
             max_seconds=seconds[-1],
-            median_received_bytes=statistics.median(cost.received for cost in costs),
+            median_received_bytes=statistics.median(
+                cost.received_bytes for cost in costs
+            ),
             max_received_bytes=max(
-                cost.received for cost, watches in pairs if not watches
+                cost.received_bytes for cost, watches in pairs if not watches
             ),
             max_watcher_received_bytes=max(
-                (cost.received for cost, watches in pairs if watches), default=0
+                (cost.received_bytes for cost, watches in pairs if watches), default=0
             ),
-            max_sent_bytes=max(cost.sent for cost in costs),
-            sources_left=sum(cost.left for cost in costs),
-            store_calls=sum(cost.calls for cost in costs),
+            max_sent_bytes=max(cost.sent_bytes for cost in costs),
+            sources_left=sum(cost.sources_left for cost in costs),
+            store_calls=sum(cost.store_calls for cost in costs),
         )
 
 
 @dataclasses.dataclass(frozen=True)
-class Figures:
-    """What one replica has counted so far."""
+class ReplicaCounts:
+    """Bytes and calls that one replica has counted since its start."""
 
-    received: int
-    sent: int
-    left: int
-    calls: int
+    received_bytes: int
+    sent_bytes: int
+    sources_left: int
+    store_calls: int
 
     def __sub__(self, other):
-        return Figures(
-            self.received - other.received,
-            self.sent - other.sent,
-            self.left - other.left,
-            self.calls - other.calls,
+        return ReplicaCounts(
+            self.received_bytes - other.received_bytes,
+            self.sent_bytes - other.sent_bytes,
+            self.sources_left - other.sources_left,
+            self.store_calls - other.store_calls,
         )
 
 
-def _reached(seconds, share):
-    """Return when ``share`` of all had it; ``seconds`` in order."""
+def _time_to_reach(seconds, share):
+    """Return the time until ``share`` of the processes had the publication.
+
+    :param seconds: sorted times of all processes.
+    """
     return seconds[math.ceil(share * len(seconds)) - 1]
--- a/benchmarks/_rollout_replica.py
+++ b/benchmarks/_rollout_replica.py
@@ -1,4 +1,4 @@
-"""The processes of the fleet of :mod:`benchmarks.rollout`: what passes on records."""
+"""Processes of the fleet of :mod:`benchmarks.rollout`, reduced to replication."""
 
 import asyncio
 import collections
@@ -7,50 +7,51 @@
 
 from boragegw import gateway, platform, standins
 
-#: Seconds until a process knows the state of another one, drawn for each process, and
-#: between the moments whose states are kept.
-GOSSIP_DELAY = (0.5, 1.0)
-GOSSIP_STEP = 0.05
-#: Seconds between a process's looks at its source from shortly before a publication.
-CHECK = 0.1
+#: Range of the seconds until a process knows the state of another one; the delay is
+#: drawn once for each process.
+GOSSIP_DELAY_SECONDS = (0.5, 1.0)
+#: Seconds between two kept states of the fleet.
+GOSSIP_STEP_SECONDS = 0.05
+#: Seconds between a process's checks of its source while a publication is measured.
+CHECK_INTERVAL_SECONDS = 0.1
 
 
-class Gossip:
-    """Gives every process the states of all others, as they were some time ago.
+class SimulatedGossip:
+    """Gives every process the states of all others with a delay, without messages.
 
     :param members: the :class:`~boragegw.gateway.Member` of each process.
     """
 
     def __init__(self, members):
         self.members = members
-        kept = math.ceil(GOSSIP_DELAY[1] / GOSSIP_STEP) + 1
+        kept = math.ceil(GOSSIP_DELAY_SECONDS[1] / GOSSIP_STEP_SECONDS) + 1
         self._states = collections.deque(maxlen=kept)
-        self._note([None] * len(members))
+        self._record_states([None] * len(members))
 
     async def run(self):
-        """Note the states for ever."""
+        """Record the states periodically until cancelled."""
         while True:
-            await asyncio.sleep(GOSSIP_STEP)
-            self._note(self._states[-1][0])
+            await asyncio.sleep(GOSSIP_STEP_SECONDS)
+            self._record_states(self._states[-1][0])
 
-    def seen(self, delay):
-        """Return the members as they were, and the latest revision among them."""
-        steps = math.ceil(delay / GOSSIP_STEP)
+    def delayed_view(self, delay):
+        """Return the members ``delay`` seconds ago and their greatest revision."""
+        steps = math.ceil(delay / GOSSIP_STEP_SECONDS)
         return self._states[max(0, len(self._states) - 1 - steps)]
 
-    def _note(self, before):
+    def _record_states(self, previous):
         state = [
-            old if old == member else gateway.Member(*_fields(member))
-            for old, member in zip(before, self.members, strict=True)
+            old if old == member else gateway.Member(*_field_values(member))
+            for old, member in zip(previous, self.members, strict=True)
         ]
         self._states.append((state, max(member.revision for member in state)))
 
 
-class Membership:
-    """What one process has heard of the others.
+class SimulatedMembership:
+    """View that one process has of the others through simulated gossip.
 
-    :param number: place of its own member among those of ``gossip``.
-    :param delay: seconds until it hears of a change.
+    :param number: index of its own member among those of ``gossip``.
+    :param delay: seconds until it learns of a change in another process.
     """
 
     def __init__(self, gossip, number, delay, board):
@@ -62,47 +63,47 @@
 
     def alive(self):
         """Return the member of each other process."""
-        members = self.gossip.seen(self.delay)[0]
+        members = self.gossip.delayed_view(self.delay)[0]
         return members[: self.number] + members[self.number + 1 :]
 
     def latest_revision(self):
-        """Return the greatest revision that a process in sight knows."""
-        return self.gossip.seen(self.delay)[1]
+        """Return the greatest revision that any process knew ``delay`` seconds ago."""
+        return self.gossip.delayed_view(self.delay)[1]
 
     def announce(self):
-        """Tell nothing: the others hear of each change by themselves."""
+        """Do nothing: the simulated gossip reads the member's state itself."""
 
 
-class SharedCatalogue(gateway.Catalogue):
-    """Keeps equal records once for all processes of a run.
+class DeduplicatingCatalogue(gateway.Catalogue):
+    """Catalogue that stores equal records only once for all processes of a run.
 
-    :param shared: the records of all processes by key and revision.
+    :param shared_records: records of all processes by key and revision.
     """
 
-    def __init__(self, shared, *args, **kwargs):
+    def __init__(self, shared_records, *args, **kwargs):
         super().__init__(*args, **kwargs)
-        self._shared = shared
+        self._shared_records = shared_records
 
     def apply_snapshot(self, reading):
-        """Replace all records by a full reading."""
-        return super().apply_snapshot(self._share(reading))
+        """Replace all records by a snapshot."""
+        return super().apply_snapshot(self._deduplicate(reading))
 
     def apply_changes(self, reading):
         """Apply the changes of a watch."""
-        super().apply_changes(self._share(reading))
+        super().apply_changes(self._deduplicate(reading))
 
-    def _share(self, reading):
+    def _deduplicate(self, reading):
         records = [
-            self._shared.setdefault((record.key, record.revision), record)
+            self._shared_records.setdefault((record.key, record.revision), record)
             for record in reading.records
         ]
         if records != reading.records:
-            raise AssertionError("a record has arrived changed")
+            raise AssertionError("a record was changed by replication")
         return dataclasses.replace(reading, records=records)
 
 
-class OpaqueDecoder(gateway.Decoder):
-    """Finds nothing in any record, in no time."""
+class NullDecoder(gateway.Decoder):
+    """Decoder that ignores all records and takes no time."""
 
     def decode_server(self, record):
         """Return ``None``."""
@@ -114,11 +115,11 @@
         """Return ``None``."""
 
 
-class SlowSource(gateway.Source):
-    """A source whose readings take the process's time until they are decoded.
+class DecodingDelaySource(gateway.Source):
+    """Source that delays each reading by the time that decoding it would take.
 
-    :param source: the true one.
-    :param decode: coroutine function that takes the time for a reading.
+    :param source: the source that the readings come from.
+    :param decode: coroutine function that sleeps for the decoding time of a reading.
     """
 
     def __init__(self, source, decode):
@@ -127,79 +128,79 @@
 
     @property
     def progress(self):
-        """How far the present answer has arrived."""
+        """Progress of the current response."""
         return self.source.progress
 
     async def read_all(self):
-        """Return a reading of all records."""
-        return await self._decoded(self.source.read_all())
+        """Return a snapshot of all records."""
+        return await self._delay_decoding(self.source.read_all())
 
     async def watch(self, after, wait):
         """Return the changes after the position ``after``."""
-        return await self._decoded(self.source.watch(after, wait))
+        return await self._delay_decoding(self.source.watch(after, wait))
 
     def close(self):
         """Close the connections."""
         self.source.close()
 
-    async def _decoded(self, reading):
+    async def _delay_decoding(self, reading):
         reading = await reading
         await self.decode(reading)
         return reading
 
 
-class NoLog:
-    """Drops all events."""
+class NullLog:
+    """Event log that drops all events."""
 
     def event(self, kind, **fields):
         """Drop an event."""
 
 
 class Replica:
-    """One process, reduced to what passes on records.
+    """One process, reduced to the replication of records.
 
-    :ivar bytes_sent: bytes of the answers that it gave to others.
+    :ivar bytes_sent: bytes of the responses that it sent to its followers.
     """
 
     def __init__(self, fleet, number, random_state):
         self.loop = fleet.loop
         self.fleet = fleet
         self.board = gateway.Blackboard()
-        delay = random_state.uniform(*GOSSIP_DELAY)
-        self.membership = Membership(fleet.gossip, number, delay, self.board)
+        delay = random_state.uniform(*GOSSIP_DELAY_SECONDS)
+        self.membership = SimulatedMembership(fleet.gossip, number, delay, self.board)
         self.own = self.membership.own
         self.bytes_sent = 0
         self._random_state = random_state
         self._decoding = False
-        shared = {"now": self.loop.time, "log": NoLog()}
-        self.catalogue = SharedCatalogue(
-            fleet.records,
+        common = {"now": self.loop.time, "log": NullLog()}
+        self.catalogue = DeduplicatingCatalogue(
+            fleet.shared_records,
             self.board,
-            OpaqueDecoder(),
+            NullDecoder(),
             on_addresses_gone=lambda addresses: None,
             on_joined=lambda server: None,
-            **shared,
+            **common,
         )
-        self.catalogue.on_change = lambda: fleet.note(self)
+        self.catalogue.on_change = lambda: fleet.record_adoption(self)
         self.follower = gateway.Follower(
             self.catalogue,
             self.membership,
-            SlowSource(self._store(), self._decode),
+            DecodingDelaySource(self._store(), self._simulate_decoding),
             self._peer_source,
             random_state=random_state,
-            **shared,
+            **common,
         )
         self._server = gateway.ReplicaServer(self.catalogue, now=self.loop.time)
 
     async def run(self):
-        """Answer others, follow and check for ever."""
+        """Serve followers, follow a source and check it until cancelled."""
         standins.HOST.set(self.own.name)
         address = (self.own.name, standins.PEER_PORT)
         await gateway.Endpoint(self._answer, now=self.loop.time).listen(address)
-        await asyncio.gather(self.follower.run(), self._check())
+        await asyncio.gather(self.follower.run(), self._check_source())
 
-    async def _check(self):
-        await asyncio.sleep(CHECK * self._random_state.random())
+    async def _check_source(self):
+        await asyncio.sleep(CHECK_INTERVAL_SECONDS * self._random_state.random())
         while True:
             if not self._decoding:
                 self.follower.check()
@@ -210,9 +211,9 @@
         self.bytes_sent += len(reply.body)
         return reply
 
-    async def _decode(self, reading):
+    async def _simulate_decoding(self, reading):
         size = sum(len(record.value or b"") for record in reading.records)
-        seconds = size / 1e6 * self.fleet.case.decoding
+        seconds = size / 1e6 * self.fleet.case.decode_seconds_per_mb
         if not seconds:
             return
         self._decoding = True
@@ -223,7 +224,7 @@
 
     def _store(self):
         return platform.StoreClient(
-            standins.STORE, self.loop.time, self.board.counters, NoLog()
+            standins.STORE, self.loop.time, self.board.counters, NullLog()
         )
 
     def _peer_source(self, address):
@@ -234,8 +235,8 @@
             now=self.loop.time,
             counters=self.board.counters,
         )
-        return SlowSource(source, self._decode)
+        return DecodingDelaySource(source, self._simulate_decoding)
 
 
-def _fields(member):
+def _field_values(member):
     return [getattr(member, name) for name in member.__struct_fields__]
