--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,8 +1,9 @@
-"""What each mechanism is worth: ``python -m benchmarks.ablation [--short]``.
+"""Ablation of balancing mechanisms: ``python -m benchmarks.ablation [--short]``.
 
-Plays an emulated fleet in virtual time with all mechanisms and without each one, on the
-same seeds, and prints the share of callers answered in time: with it, and the median
-and spread of what it loses without.
+Simulates a fleet in virtual time with all mechanisms and with each one disabled, on the
+same seeds. Prints the share of callers answered in time with all mechanisms, and for
+each disabled mechanism the median and range of the change of this share. In a scenario
+where servers join, the share is that of the joined servers that get a request.
 """
 
 import argparse
@@ -13,79 +14,86 @@
 from boragegw import balancing, standins
 
 WORKERS = 4
-SEEDS = 5
-#: What is played, in seconds.
-SECONDS = 6.0
+SEED_COUNT = 5
+#: Duration of a run in virtual seconds.
+RUN_SECONDS = 6.0
 
 
 @dataclasses.dataclass(frozen=True, eq=False)
 class Scenario:
-    """A load on a small fleet.
+    """Load and faults of a small fleet.
 
-    :param faults: what is wrong with half of the backend servers.
+    :param reports_no_load: whether the backend servers report no load.
+    :param urgent_share: share of the callers on the route of higher priority.
+    :param faults: values of the fault switches of half of the backend servers.
+    :param joining_servers: number of backend servers that join during the run.
     """
 
     name: str
-    per_second: float
+    callers_per_second: float
     route_kind: str = "safe"
-    silent: bool = False
+    reports_no_load: bool = False
     urgent_share: float = 0.0
     faults: dict = dataclasses.field(default_factory=dict)
-    joined: int = 0
+    joining_servers: int = 0
 
 
-SHEDDING = {"not_run": 503, "not_run_share": 0.55}
+REJECTION_FAULTS = {"not_run": 503, "not_run_share": 0.55}
 SCENARIOS = (
     Scenario("usual", 100),
     Scenario("burst", 240),
     Scenario("burst, urgent callers", 260, urgent_share=1 / 3),
-    Scenario("half turn work away", 120, faults=SHEDDING),
+    Scenario("half turn work away", 120, faults=REJECTION_FAULTS),
     Scenario("half fail", 100, faults={"status": 500}),
-    Scenario("silent servers, non-idempotent", 100, "unsafe", silent=True),
-    Scenario("servers join", 60, joined=3),
+    Scenario("silent servers, non-idempotent", 100, "unsafe", reports_no_load=True),
+    Scenario("servers join", 60, joining_servers=3),
 )
 
 
-class SilentBackend(standins.NoisyBackend):
-    """A backend server with noisy neighbours that tells no load."""
+class NonReportingBackend(standins.NoisyBackend):
+    """A backend server with noisy neighbours that reports no load."""
 
     def __init__(self, identity, address):
         super().__init__(identity, address, silent=True)
 
 
-def play(job):
-    """Return the share in time of one (scenario, mechanism or None, seed)."""
+def run_job(job):
+    """Return the share in time of one (scenario, disabled mechanism or None, seed)."""
     scenario, mechanism, seed = job
     policies = balancing.DISABLING_PARAMETERS[mechanism] if mechanism else {}
     results = []
 
     @standins.in_memory
     async def run():
-        results.append(await _in_time(scenario, policies, seed))
+        results.append(await _in_time_share(scenario, policies, seed))
 
     run()
     return results[0]
 
 
-async def _in_time(scenario, policies, seed):
-    kind = SilentBackend if scenario.silent else standins.NoisyBackend
+async def _in_time_share(scenario, policies, seed):
+    backend_class = (
+        NonReportingBackend if scenario.reports_no_load else standins.NoisyBackend
+    )
     installation = await standins.noisy_world(
-        kind=kind, route_kind=scenario.route_kind, seed=seed, policies=policies
+        kind=backend_class, route_kind=scenario.route_kind, seed=seed, policies=policies
     )
     for name in ("i-0", "i-1", "i-2"):
         for field, value in scenario.faults.items():
             setattr(installation.backends[name].faults, field, value)
     load = standins.CallerLoad(
-        installation, scenario.per_second, scenario.urgent_share, seed
+        installation, scenario.callers_per_second, scenario.urgent_share, seed
     )
-    if scenario.joined:
-        return await _share_of_joined(installation, load, scenario.joined)
-    usual, urgent = await load.play(SECONDS)
-    return urgent.in_time if scenario.urgent_share else usual.in_time
+    if scenario.joining_servers:
+        return await _share_of_joined_in_use(
+            installation, load, scenario.joining_servers
+        )
+    normal, urgent = await load.play(RUN_SECONDS)
+    return urgent.in_time if scenario.urgent_share else normal.in_time
 
 
-async def _share_of_joined(installation, load, count):
-    """Return the share of joined servers that get work within some seconds."""
+async def _share_of_joined_in_use(installation, load, count):
+    """Return the share of the joined servers that get a request within 3 s."""
     await load.play(2.0)
     names = [f"i-new-{number}" for number in range(count)]
     for name in names:
@@ -97,40 +105,40 @@
 
 
 def main():
-    """Print the table."""
+    """Run all scenarios and print the table."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--short", action="store_true", help="two seeds")
     options = parser.parse_args()
-    seeds = range(1, 3 if options.short else SEEDS + 1)
+    seeds = range(1, 3 if options.short else SEED_COUNT + 1)
     mechanisms = [None, *balancing.DISABLING_PARAMETERS]
     jobs = [(s, m, seed) for s in SCENARIOS for m in mechanisms for seed in seeds]
     with concurrent.futures.ProcessPoolExecutor(WORKERS) as pool:
-        shares = dict(zip(jobs, pool.map(play, jobs), strict=True))
-    for row in rows(shares, seeds):
+        shares = dict(zip(jobs, pool.map(run_job, jobs), strict=True))
+    for row in table_rows(shares, seeds):
         print("| " + " | ".join(row) + " |")
 
 
-def rows(shares, seeds):
+def table_rows(shares, seeds):
     """Yield the rows of the table as lists of cells."""
     yield ["mechanism", *(scenario.name for scenario in SCENARIOS)]
     yield ["---"] * (1 + len(SCENARIOS))
-    whole = (
+    baselines = (
         statistics.median(shares[scenario, None, seed] for seed in seeds)
         for scenario in SCENARIOS
     )
-    yield ["all (share in time)", *(f"{share:.3f}" for share in whole)]
+    yield ["all (share in time)", *(f"{share:.3f}" for share in baselines)]
     for mechanism in balancing.DISABLING_PARAMETERS:
-        cells = (_loss(shares, s, mechanism, seeds) for s in SCENARIOS)
+        cells = (_format_change(shares, s, mechanism, seeds) for s in SCENARIOS)
         yield [f"without {mechanism}", *cells]
 
 
-def _loss(shares, scenario, mechanism, seeds):
+def _format_change(shares, scenario, mechanism, seeds):
     changes = [
         shares[scenario, mechanism, seed] - shares[scenario, None, seed]
         for seed in seeds
     ]
-    middle = statistics.median(changes)
-    return f"{middle:+.3f} ({min(changes):+.3f} to {max(changes):+.3f})"
+    median = statistics.median(changes)
+    return f"{median:+.3f} ({min(changes):+.3f} to {max(changes):+.3f})"
 
 
 if __name__ == "__main__":
--- a/benchmarks/aims.py
+++ b/benchmarks/aims.py
@@ -1,7 +1,8 @@
-"""All aims for both users in one table: ``python -m benchmarks.aims [--short]``.
+"""Check of all performance aims: ``python -m benchmarks.aims [--short]``.
 
-Every figure is measured in this run: real entry code in virtual time, with fakes of
-backend servers, peers and platform. Prints a table; ``--json FILE`` writes JSON lines.
+Measures each aim for a service of each of the two users and prints a table. Every value
+is measured in the same run, with the entry code in virtual time and simulated backend
+servers, peers and platform. ``--json FILE`` also writes the rows as JSON lines.
 """
 
 import argparse
@@ -11,18 +12,20 @@
 
 from benchmarks import compare, load, policies, shapes
 
-USERS = ("liffeyside/filing", "habimana/claims")
+#: One service of each user, as ``user/name``.
+SERVICES = ("liffeyside/filing", "habimana/claims")
+#: Maximum p99 latency as a ratio to that of each reference.
 P99_AIMS = {
     "round robin": 0.5,
     "least own in flight": 0.7,
     "power of two on reports": 0.8,
     "oracle": 1.3,
 }
-RECALLED = "dc-b"
+RECALLED_DATA_CENTRE = "dc-b"
 
 
-def _run(service, utilization, seed, seconds, **options):
-    contender = options.pop("contender", policies.ours())
+def _measure(service, utilization, seed, seconds, **options):
+    contender = options.pop("contender", policies.product_contender())
     return load.measure(
         load.LoadRun(
             shapes.find_service(service),
@@ -36,59 +39,69 @@
 
 
 def stale_reports(service, seed, seconds):
-    """Return probes per request with reports that lag half a second and lie."""
-    result = _run(service, 0.7, seed, seconds, report_lag=0.5, report_lie=0.3)
-    return {"probes per request, reports stale": _per_request(result)}
+    """Return probes per request with reports that are 0.5 s late and too low."""
+    result = _measure(service, 0.7, seed, seconds, report_lag=0.5, report_factor=0.3)
+    return {"probes per request, reports stale": _probes_per_request(result)}
 
 
-def _per_request(result):
+def _probes_per_request(result):
     return result.probes / max(1, len(result.samples))
 
 
-def _first(run, count):
+def _first_servers(run, count):
     return list(run.fleet.servers.values())[:count]
 
 
-def _restart(run):
-    _first(run, 1)[0].restart()
+def _restart_server(run):
+    _first_servers(run, 1)[0].restart()
 
 
 def _turn_cold(run):
-    _first(run, 2)[1].turn_cold()
+    _first_servers(run, 2)[1].turn_cold()
 
 
-def _cut(run):
+def _partition(run):
     run.fleet.world.cut("dc-a", "dc-c")
 
 
-def _heal(run):
+def _heal_partition(run):
     run.fleet.world.heal()
 
 
 def cold_start(service, seed, seconds):
-    """Return the most work at a cold server over what it bears, by kind of turn."""
-    restarts = [(0.5, _restart), (1.0, _cut), (1.5, _restart), (2.0, _heal)]
-    announced = _run(service, 0.7, seed, 4.0, events=restarts, report_lie=0.3)
-    silent = _run(service, 0.7, seed, 3.0, events=[(0.5, _turn_cold)])
+    """Return the maximum load of a cold server over its cold capacity.
+
+    Servers turn cold by a restart, also during a network partition, or without notice.
+    """
+    restarts = [
+        (0.5, _restart_server),
+        (1.0, _partition),
+        (1.5, _restart_server),
+        (2.0, _heal_partition),
+    ]
+    announced = _measure(service, 0.7, seed, 4.0, events=restarts, report_factor=0.3)
+    silent = _measure(service, 0.7, seed, 3.0, events=[(0.5, _turn_cold)])
     return {
-        "cold work over bearable, restarts": announced.worst_cold,
-        "cold work over bearable, no warning, at once": silent.worst_cold,
-        "cold work over bearable, no warning, sent after 0.1 s": silent.worst_late_cold,
-        "probes per request, faults on": _per_request(announced),
+        "cold work over bearable, restarts": announced.max_cold_load_ratio,
+        "cold work over bearable, no warning, at once": silent.max_cold_load_ratio,
+        "cold work over bearable, no warning, sent after 0.1 s": (
+            silent.max_late_cold_load_ratio
+        ),
+        "probes per request, faults on": _probes_per_request(announced),
     }
 
 
 def _publish_recall(run):
-    run.marks["recall"] = run.fleet.entries[0].clock.now()
-    run.fleet.state.publish_recalls([("data-centre", [RECALLED])])
+    run.event_times["recall"] = run.fleet.entries[0].clock.now()
+    run.fleet.state.publish_recalls([("data-centre", [RECALLED_DATA_CENTRE])])
 
 
-def _publish_return(run):
-    run.marks["return"] = run.fleet.entries[0].clock.now()
+def _withdraw_recall(run):
+    run.event_times["return"] = run.fleet.entries[0].clock.now()
     run.fleet.state.publish_recalls([])
 
 
-def _platform_down(run):
+def _start_platform_outage(run):
     run.fleet.state.outage = True
 
 
@@ -97,38 +110,50 @@
     run.fleet.world.pause(node.board.identity.peer_address)
 
 
-def _late_work(result, after=2.0):
-    """Return runs begun in the recalled data centre after the grace."""
-    limit = result.marks["recall"] + after
+def _count_late_runs(result, after=2.0):
+    """Return the number of runs that began in the recalled data centre too late.
+
+    :param after: seconds after the recall during which runs may still begin.
+    """
+    limit = result.event_times["recall"] + after
     names = {
         name
         for name, server in result.servers.items()
-        if server.vm.data_centre == RECALLED
+        if server.vm.data_centre == RECALLED_DATA_CENTRE
     }
     return sum(run.backend in names and run.at > limit for run in result.runs)
 
 
-def recall_in_trouble(service, seed, seconds):
-    """Return new work to a recalled data centre later than 2 s after publication."""
-    events = [(0.5, _pause_reader), (1.0, _publish_recall), (1.2, _platform_down)]
-    result = _run(service, 0.5, seed, 4.5, events=events)
-    return {"new work 2 s after a recall": _late_work(result)}
+def recall_during_outage(service, seed, seconds):
+    """Return the runs begun in a recalled data centre over 2 s after the recall.
+
+    One entry is paused before the recall, and the platform fails 0.2 s after it.
+    """
+    events = [
+        (0.5, _pause_reader),
+        (1.0, _publish_recall),
+        (1.2, _start_platform_outage),
+    ]
+    result = _measure(service, 0.5, seed, 4.5, events=events)
+    return {"new work 2 s after a recall": _count_late_runs(result)}
 
 
 def recall_and_return(service, seed, seconds):
-    """Return failures and tail around a recall and a return at 60% load."""
-    before = 6.0
-    returned = before + 4.0
-    events = [(before, _publish_recall), (returned, _publish_return)]
-    result = _run(service, 0.6, seed, returned + 10.0, events=events)
-    start, back = result.marks["start"], result.marks["return"]
-    p99_before = result.quantile(0.99, since=start, until=start + before)
-    p99_after = result.quantile(0.99, since=back, until=back + 10.0)
+    """Return failures and p99 around a recall and its withdrawal at 60% load."""
+    recall_at = 6.0
+    withdraw_at = recall_at + 4.0
+    events = [(recall_at, _publish_recall), (withdraw_at, _withdraw_recall)]
+    result = _measure(service, 0.6, seed, withdraw_at + 10.0, events=events)
+    start, withdrawn = result.event_times["start"], result.event_times["return"]
+    p99_before = result.latency_quantile_ms(0.99, since=start, until=start + recall_at)
+    p99_after = result.latency_quantile_ms(
+        0.99, since=withdrawn, until=withdrawn + 10.0
+    )
     keys = [run.key for run in result.runs if run.key]
     failed = sum(s.status != 200 and s.idempotent for s in result.samples)
     refused = sum(s.status != 200 and not s.idempotent for s in result.samples)
     return {
-        "new work 2 s after a plain recall": _late_work_until_return(result),
+        "new work 2 s after a plain recall": _count_late_runs_while_recalled(result),
         "idempotent requests failed": failed,
         "non-idempotent requests refused": refused,
         "non-idempotent run twice": len(keys) - len(set(keys)),
@@ -136,11 +161,11 @@
     }
 
 
-def _late_work_until_return(result):
-    back = result.marks["return"]
-    kept = [run for run in result.runs if run.at < back]
+def _count_late_runs_while_recalled(result):
+    withdrawn = result.event_times["return"]
+    kept = [run for run in result.runs if run.at < withdrawn]
     result.runs = kept
-    return _late_work(result)
+    return _count_late_runs(result)
 
 
 def _refuse_all(run):
@@ -154,20 +179,21 @@
 
 
 def retry_storm(service, seed, seconds):
-    """Return sends per request with all attempts failing for 1 s, over without."""
-    calm = _run(service, 0.6, seed, 4.0)
+    """Return sends with all attempts refused for 1 s over sends without this fault."""
+    baseline = _measure(service, 0.6, seed, 4.0)
     events = [(1.0, _refuse_all), (2.0, _accept_all)]
-    storm = _run(service, 0.6, seed, 4.0, events=events)
-    return {"sends with a retry storm over without": storm.sends / calm.sends}
+    storm = _measure(service, 0.6, seed, 4.0, events=events)
+    return {"sends with a retry storm over without": storm.sends / baseline.sends}
 
 
 SCENARIOS = (
     stale_reports,
     cold_start,
-    recall_in_trouble,
+    recall_during_outage,
     recall_and_return,
     retry_storm,
 )
+#: Maximum of each measure.
 AIMS = {
     "probes per request, reports stale": 0.01,
     "probes per request, faults on": 0.01,
@@ -185,12 +211,12 @@
 
 
 def run_scenario(job):
-    """Run one (scenario index, service, seed, seconds)."""
+    """Return service and measures of a (scenario index, service, seed, seconds)."""
     index, service, seed, seconds = job
     return service, SCENARIOS[index](service, seed, seconds)
 
 
-def _row(name, aim, service, values):
+def _make_row(name, aim, service, values):
     median = float(numpy.median(values))
     return {
         "measure": name,
@@ -203,41 +229,41 @@
     }
 
 
-def tail_rows(seconds, seeds):
-    """Measure p99 against the baselines and the oracle."""
+def latency_rows(seconds, seeds):
+    """Yield the rows of p99 latency over that of the baselines and the oracle."""
     names = ["boragegw", *P99_AIMS]
     jobs = [
         (service, name, utilization, seed, seconds, "")
-        for service in USERS
+        for service in SERVICES
         for utilization in (0.7, 0.9)
         for name in names
         for seed in range(seeds)
     ]
     measured = compare.run_jobs(jobs)
     for reference, aim in P99_AIMS.items():
-        found = compare.ratios(measured, reference)
-        for service in USERS:
+        ratios = compare.ratios(measured, reference)
+        for service in SERVICES:
             for utilization in (0.7, 0.9):
-                values = found[(service, utilization, "boragegw")]
+                values = ratios[(service, utilization, "boragegw")]
                 name = f"p99 over {reference}, {utilization:.0%}"
-                yield _row(name, aim, service, values)
+                yield _make_row(name, aim, service, values)
 
 
 def scenario_rows(seconds, seeds):
-    """Measure the other aims."""
+    """Yield the rows of the other aims."""
     jobs = [
         (index, service, seed, seconds)
         for index in range(len(SCENARIOS))
-        for service in USERS
+        for service in SERVICES
         for seed in range(seeds)
     ]
     cells = {}
-    for service, figures in compare.run_jobs(jobs, run_scenario):
-        for name, value in figures.items():
+    for service, measures in compare.run_jobs(jobs, run_scenario):
+        for name, value in measures.items():
             cells.setdefault((name, service), []).append(value)
     for name, aim in AIMS.items():
-        for service in USERS:
-            yield _row(name, aim, service, cells[(name, service)])
+        for service in SERVICES:
+            yield _make_row(name, aim, service, cells[(name, service)])
 
 
 def main():
@@ -252,7 +278,7 @@
     seeds = 1 if options.short else options.seeds
     rows = []
     if options.only != "scenarios":
-        rows += tail_rows(seconds, seeds)
+        rows += latency_rows(seconds, seeds)
     if options.only != "tail":
         rows += scenario_rows(seconds, seeds)
     print(f"| measure | service | aim | median | spread over {seeds} seeds | met |")
--- a/benchmarks/compare.py
+++ b/benchmarks/compare.py
@@ -1,4 +1,4 @@
-"""Compares contenders side by side: ``python -m benchmarks.compare [--short]``."""
+"""Comparison of placement policies: ``python -m benchmarks.compare [--short]``."""
 
 import argparse
 import concurrent.futures
@@ -12,8 +12,8 @@
 WORKERS = 5
 
 
-def run_one(job):
-    """Run one (service text, contender name, utilization, seed, seconds, module)."""
+def run_job(job):
+    """Return the row of a (service, contender, load, seed, seconds, variants)."""
     service, name, utilization, seed, seconds, variants = job
     contender = contenders(variants)[name]
     result = load.measure(
@@ -26,33 +26,39 @@
         "contender": name,
         "utilization": utilization,
         "seed": seed,
-        "p50": result.quantile(0.5),
-        "p99": result.quantile(0.99),
-        "p999": result.quantile(0.999),
-        "p99_idempotent": result.quantile(0.99, True),
-        "p99_non_idempotent": result.quantile(0.99, False),
-        "failed": result.failed,
+        "p50": result.latency_quantile_ms(0.5),
+        "p99": result.latency_quantile_ms(0.99),
+        "p999": result.latency_quantile_ms(0.999),
+        "p99_idempotent": result.latency_quantile_ms(0.99, True),
+        "p99_non_idempotent": result.latency_quantile_ms(0.99, False),
+        "failed": result.failed_share,
         "probes_per_request": result.probes / max(1, len(result.samples)),
         "sends_per_request": result.sends / max(1, len(result.samples)),
     }
 
 
 def contenders(variants=""):
-    """Return all contenders by name."""
-    rows = [*policies.BASELINES, policies.ours(), policies.ORACLE]
+    """Return all contenders by name.
+
+    :param variants: Python expression of a list of further contenders; ``ours`` is the
+        product and ``p`` the module :mod:`benchmarks.policies`.
+    """
+    rows = [*policies.BASELINES, policies.product_contender(), policies.ORACLE]
     if variants:
-        rows += eval(variants, {"ours": policies.ours, "p": policies})  # noqa: S307
+        rows += eval(variants, {"ours": policies.product_contender, "p": policies})  # noqa: S307
     return {row.name: row for row in rows}
 
 
-def run_jobs(jobs, run=run_one):
-    """Run jobs in a few processes and return their rows in order."""
+def run_jobs(jobs, run=run_job):
+    """Run jobs in worker processes and return their results in order."""
     with concurrent.futures.ProcessPoolExecutor(WORKERS) as pool:
         return list(pool.map(run, jobs))
 
 
-def table(rows, names, columns=("p50", "p99", "p999", "p99_non_idempotent", "failed")):
-    """Print the median over seeds with the spread (least to greatest)."""
+def print_table(
+    rows, names, columns=("p50", "p99", "p999", "p99_non_idempotent", "failed")
+):
+    """Print the median over seeds and the range (minimum to maximum)."""
     cells = {}
     for row in rows:
         key = (row["service"], row["utilization"], row["contender"])
@@ -72,11 +78,11 @@
 
 
 def ratios(rows, reference, column="p99"):
-    """Return (service, utilization, contender) to the ratios to ``reference``.
+    """Return the ratios to ``reference`` by (service, utilization, contender).
 
-    Ratios are taken within a seed: the arrivals and the neighbours are the same.
+    Ratios are taken within a seed, where arrivals and noisy neighbours are the same.
     """
-    base = {
+    reference_values = {
         (row["service"], row["utilization"], row["seed"]): row[column]
         for row in rows
         if row["contender"] == reference
@@ -84,13 +90,16 @@
     found = {}
     for row in rows:
         key = (row["service"], row["utilization"], row["contender"])
-        value = row[column] / base[(row["service"], row["utilization"], row["seed"])]
+        value = (
+            row[column]
+            / reference_values[(row["service"], row["utilization"], row["seed"])]
+        )
         found.setdefault(key, []).append(value)
     return found
 
 
-def ratio_table(rows, names, reference, column="p99"):
-    """Print the median ratio with its spread for each service and load."""
+def print_ratio_table(rows, names, reference, column="p99"):
+    """Print the median ratio and its range for each service and utilization."""
     found = ratios(rows, reference, column)
     keys = sorted({key[:2] for key in found})
     print(f"\n{column} over that of {reference}, same seed")
@@ -137,10 +146,10 @@
         for seed in range(seeds)
     ]
     rows = run_jobs(jobs)
-    table(rows, names)
+    print_table(rows, names)
     reference = options.reference if options.reference in names else names[0]
     for column in ("p99", "p99_non_idempotent"):
-        ratio_table(rows, names, reference, column)
+        print_ratio_table(rows, names, reference, column)
     write_json_lines(options.json, rows)
     return 0
 
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,4 +1,7 @@
-"""Drives real entry code in virtual time: bursts, noisy neighbours, stale reports."""
+"""Load generator for entries in virtual time.
+
+Simulates bursts, noisy neighbours and stale load reports.
+"""
 
 import asyncio
 import dataclasses
@@ -9,13 +12,14 @@
 from benchmarks import shapes
 from boragegw import errors, standins, utils
 
+#: Share of the requests that are idempotent.
 IDEMPOTENT_SHARE = 0.7
-CALLERS = 60
+CALLER_COUNT = 60
 
 
 @dataclasses.dataclass
-class Sample:
-    """One finished request."""
+class RequestSample:
+    """Outcome of one request; times in seconds, status 0 if there was no answer."""
 
     started: float
     latency: float
@@ -25,22 +29,35 @@
 
 
 @dataclasses.dataclass
-class Result:
-    """What one run gave."""
+class LoadResult:
+    """Measurements of one run.
+
+    :param samples: list of :class:`RequestSample`.
+    :param sends: attempts sent to backend servers.
+    :param probes: probes of backend servers.
+    :param datagrams: datagrams between entries.
+    :param runs: list of :class:`~boragegw.standins.RunEvent`.
+    :param max_cold_load_ratio: maximum over the servers of the work in flight at a cold
+        server divided by its cold capacity.
+    :param max_late_cold_load_ratio: the same ratio for only the work that arrived more
+        than 0.1 s after the server had turned cold.
+    :param event_times: times of events by name.
+    :param servers: backend servers by name.
+    """
 
     samples: list
     sends: int
     probes: int
     datagrams: int
     runs: list
-    worst_cold: float
-    worst_late_cold: float
+    max_cold_load_ratio: float
+    max_late_cold_load_ratio: float
     seconds: float
-    marks: dict
+    event_times: dict
     servers: dict
 
-    def quantile(self, share, idempotent=None, since=None, until=None):
-        """Return a latency quantile in milliseconds of the answered requests."""
+    def latency_quantile_ms(self, share, idempotent=None, since=None, until=None):
+        """Return a latency quantile in milliseconds of the successful requests."""
         values = [
             sample.latency
             for sample in self.samples
@@ -52,20 +69,27 @@
         return float(numpy.quantile(values, share)) * 1000 if values else float("nan")
 
     @property
-    def failed(self):
-        """Share of requests without a good answer."""
+    def failed_share(self):
+        """Share of requests without a successful answer."""
         bad = sum(sample.status != 200 for sample in self.samples)
         return bad / max(1, len(self.samples))
 
 
 class LoadRun:
-    """One service under load.
+    """Run of one service under load.
 
     :param service: a :class:`~benchmarks.shapes.UserService`.
     :param contender: a :class:`~benchmarks.policies.Contender`.
-    :param utilization: offered work over the slots.
-    :param skew: 1 is callers of equal rates; with more a few send most requests.
+    :param utilization: offered work over the capacity of all slots.
     :param events: list of (seconds after the start, function of this run).
+    :param report_lag: seconds by which load reports are late.
+    :param report_factor: factor by which reports multiply the requests in flight; 0 for
+        correct reports.
+    :param noisy_neighbours: whether backend servers slow down at random.
+    :param bursts: whether the arrival rate varies.
+    :param document: members of the service document that override the contender's.
+    :param caller_skew: 1 for callers of equal rates; with a higher value, few callers
+        send most requests.
     """
 
     def __init__(
@@ -77,11 +101,11 @@
         seconds,
         events=(),
         report_lag=0.0,
-        report_lie=0.0,
-        neighbours=True,
+        report_factor=0.0,
+        noisy_neighbours=True,
         bursts=True,
         document=None,
-        skew=1.0,
+        caller_skew=1.0,
     ):
         self.service = service
         self.contender = contender
@@ -90,19 +114,19 @@
         self.seconds = seconds
         self.events = events
         self.report_lag = report_lag
-        self.report_lie = report_lie
-        self.neighbours = neighbours
+        self.report_factor = report_factor
+        self.noisy_neighbours = noisy_neighbours
         self.bursts = bursts
         self.document = document or {}
-        self.skew = skew
+        self.caller_skew = caller_skew
         self.samples = []
-        self.marks = {}
+        self.event_times = {}
         self.fleet = None
-        self._kept = {}
+        self._lookup_cache = {}
 
     async def run(self):
-        """Run and return the :class:`Result`."""
-        shape = shapes.shape_of(
+        """Run the load and return the :class:`LoadResult`."""
+        shape = shapes.service_spec(
             self.service, {**self.contender.document, **self.document}
         )
         self.fleet = standins.VirtualFleet(
@@ -114,7 +138,7 @@
         await self.fleet.start()
         for backend in self.fleet.servers.values():
             backend.faults.report_lag = self.report_lag
-            backend.faults.report_lie = self.report_lie
+            backend.faults.report_lie = self.report_factor
         return await self._measure()
 
     def _true_load(self, name):
@@ -125,15 +149,18 @@
         start = loop.time()
         probes = sum(s.probes for s in self.fleet.servers.values())
         datagrams = self.fleet.world.datagrams
-        background = [loop.create_task(self._disturb(s)) for s in self._disturbed()]
+        background = [
+            loop.create_task(self._simulate_noisy_neighbours(s))
+            for s in self._noisy_backends()
+        ]
         background += [
-            loop.create_task(self._event(start + moment, event))
+            loop.create_task(self._run_event(start + moment, event))
             for moment, event in self.events
         ]
-        await self._offer(start + self.seconds)
+        await self._generate_arrivals(start + self.seconds)
         for task in background:
             task.cancel()
-        result = Result(
+        result = LoadResult(
             self.samples,
             sum(t.sends for t in self.fleet.transports.values()),
             sum(s.probes for s in self.fleet.servers.values()) - probes,
@@ -142,55 +169,55 @@
             max(s.worst_cold_ratio for s in self.fleet.servers.values()),
             max(s.worst_late_cold_ratio for s in self.fleet.servers.values()),
             self.seconds,
-            {"start": start, **self.marks},
+            {"start": start, **self.event_times},
             self.fleet.servers,
         )
         await self.fleet.close()
         return result
 
-    def _disturbed(self):
-        return self.fleet.servers.values() if self.neighbours else ()
+    def _noisy_backends(self):
+        return self.fleet.servers.values() if self.noisy_neighbours else ()
 
-    async def _disturb(self, backend):
-        """Slow a backend server tenfold for tens of milliseconds, again and again."""
+    async def _simulate_noisy_neighbours(self, backend):
+        """Repeatedly slow a backend server tenfold for tens of milliseconds."""
         draw = random.Random(f"{self.seed}/neighbour/{backend.name}")
         while True:
-            await asyncio.sleep(draw.expovariate(1 / shapes.NEIGHBOUR_EVERY))
-            backend.faults.slow_factor = shapes.NEIGHBOUR_FACTOR
-            await asyncio.sleep(draw.uniform(*shapes.NEIGHBOUR_LENGTH))
+            await asyncio.sleep(draw.expovariate(1 / shapes.NEIGHBOUR_INTERVAL_SECONDS))
+            backend.faults.slow_factor = shapes.NEIGHBOUR_SLOWDOWN
+            await asyncio.sleep(draw.uniform(*shapes.NEIGHBOUR_DURATION_SECONDS))
             backend.faults.slow_factor = 1.0
 
-    async def _event(self, moment, event):
+    async def _run_event(self, moment, event):
         loop = asyncio.get_running_loop()
         await asyncio.sleep(moment - loop.time())
         result = event(self)
         if result is not None:
             await result
 
-    async def _offer(self, end):
+    async def _generate_arrivals(self, end):
         loop = asyncio.get_running_loop()
         draw = random.Random(f"{self.seed}/arrivals")
         slots = self.service.backends * self.service.slots
-        rate = self.utilization * slots / shapes.MEAN_SERVICE
+        rate = self.utilization * slots / shapes.MEAN_SERVICE_SECONDS
         tasks = set()
         number = 0
         phase, factor = loop.time(), 1.0
         while loop.time() < end:
             if self.bursts and loop.time() >= phase:
-                factor, length = draw.choice(shapes.BURST)
+                factor, length = draw.choice(shapes.BURST_PHASES)
                 phase = loop.time() + draw.expovariate(1 / length)
             await asyncio.sleep(draw.expovariate(rate * factor))
             number += 1
-            task = loop.create_task(self._request(draw, number))
+            task = loop.create_task(self._send_request(draw, number))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         if tasks:
             await asyncio.wait(tasks, timeout=15.0)
 
-    async def _request(self, draw, number):
+    async def _send_request(self, draw, number):
         loop = asyncio.get_running_loop()
         idempotent = draw.random() < IDEMPOTENT_SHARE
-        caller = f"caller-{int(CALLERS * draw.random() ** self.skew)}"
+        caller = f"caller-{int(CALLER_COUNT * draw.random() ** self.caller_skew)}"
         started = loop.time()
         try:
             index, key = self._choose_entry(caller, number, idempotent)
@@ -207,21 +234,25 @@
         except (ConnectionResetError, errors.BoragegwError):
             status, verdict = 0, ""
         self.samples.append(
-            Sample(started, loop.time() - started, idempotent, status, verdict)
+            RequestSample(started, loop.time() - started, idempotent, status, verdict)
         )
 
     def _choose_entry(self, caller, number, idempotent):
-        """Ask any entry which one to use and keep the answer, as callers do."""
+        """Return the entry to use and the idempotency key of a request.
+
+        Looks the entry up in the directory of any entry and caches the answer, as
+        callers do.
+        """
         now = asyncio.get_running_loop().time()
-        kept_at, found = self._kept.get(caller, (float("-inf"), None))
-        if found is None or now - kept_at > found.keep_for_ms / 1000:
+        cached_at, found = self._lookup_cache.get(caller, (float("-inf"), None))
+        if found is None or now - cached_at > found.keep_for_ms / 1000:
             asked = self.fleet.entries[number % len(self.fleet.entries)]
             found = asked.directory.lookup(self.service.name, caller)
-            self._kept[caller] = (now, found)
+            self._lookup_cache[caller] = (now, found)
         index = int(found.entries[0].split(".")[3].partition(":")[0]) - 1
         return index, "" if idempotent else f"{found.lease}.{number}"
 
 
 def measure(run):
-    """Run a :class:`LoadRun` in virtual time."""
+    """Run a :class:`LoadRun` in virtual time and return its result."""
     return utils.run_virtual(run.run())
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -1,20 +1,26 @@
-"""The configurations that are compared side by side."""
+"""Contenders of the benchmarks: the product, baselines and an oracle."""
 
 import dataclasses
 from collections import abc
 
 from boragegw import decisions, server
 
-ALL_ENTRIES = 15
-NO_LIMIT = 10.0
+ENTRY_COUNT = 15
+#: Requests in flight per slot: the maximum of the setting, to not limit the baselines.
+UNLIMITED_FACTOR = 10.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Contender:
-    """One configuration of the entries.
+    """Policies and settings of the entries that are compared.
 
     :param document: members of the service document.
-    :param placement: function (node index, true load) that makes the placement.
+    :param placement: function of an entry's index and of a function that returns a
+        backend server's actual load; returns the placement policy.
+    :param limits: function that returns the concurrency limit policy.
+    :param hedging: function that returns the hedging policy.
+    :param digest_interval: seconds between load digests.
+    :param entries: number of entries.
     """
 
     name: str
@@ -23,10 +29,10 @@
     limits: abc.Callable = decisions.ConcurrencyLimitPolicy
     hedging: abc.Callable = decisions.HedgePolicy
     digest_interval: float = 0.2
-    entries: int = ALL_ENTRIES
+    entries: int = ENTRY_COUNT
 
     def parameters(self, index, true_load):
-        """Return the parameters of the entry ``index``."""
+        """Return the parameters of the entry with this index."""
         return server.NodeParameters(
             placement=self.placement(index, true_load),
             limits=self.limits(),
@@ -35,24 +41,26 @@
         )
 
 
-def _local(index, true_load, **params):
+def _local_first(index, true_load, **params):
     data_centre = ("dc-a", "dc-b", "dc-c")[index % 3]
     return decisions.LocalFirst(data_centre, **params)
 
 
 def baseline(name, placement, **document):
-    """Return a contender without late binding, subsets or hedging."""
+    """Return a contender without late binding, subsetting or hedging."""
     settings = {
-        "subset_size": ALL_ENTRIES,
-        "in_flight_factor": NO_LIMIT,
+        "subset_size": ENTRY_COUNT,
+        "in_flight_factor": UNLIMITED_FACTOR,
         "hedge_budget": 0.0,
         **document,
     }
     return Contender(name, settings, lambda index, load: placement(load))
 
 
-def ours(name="boragegw", hedge_budget=0.05, subset_size=3, factor=1.0, **params):
-    """Return the product's configuration, with changes."""
+def product_contender(
+    name="boragegw", hedge_budget=0.05, subset_size=3, factor=1.0, **params
+):
+    """Return the product as a contender, with the given parameters changed."""
     limits = params.pop("limits", decisions.ConcurrencyLimitPolicy)
     hedging = params.pop("hedging", decisions.HedgePolicy)
     digest_interval = params.pop("digest_interval", 0.2)
@@ -64,7 +72,7 @@
     return Contender(
         name,
         document,
-        lambda index, load: _local(index, load, **params),
+        lambda index, load: _local_first(index, load, **params),
         limits,
         hedging,
         digest_interval,
