--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -1,8 +1,9 @@
-"""Cost of one hop: added time and processor time (``python -m benchmarks.hop``).
+"""Latency and processor time of one hop: ``python -m benchmarks.hop``.
 
-Backend server, entry and caller are processes of their own on loopback. The paths
-take turns within one run, so that noise strikes all alike; figures are ratios to the
-direct call and differences from it, with the spread over rounds.
+Backend server, entry and caller are separate processes on loopback. The paths are
+measured in turn within each round, so that noise affects all of them equally. Added
+latencies are differences from the direct call, and the costs of upstream clients are
+also given as ratios to the pool's. Values are medians with the range over rounds.
 """
 
 import argparse
@@ -30,37 +31,46 @@
 )
 from boragegw.server import _listener
 
-SERVICE = {"name": "hop", "warm_up_ms": 0, "cold_in_flight": 64, "hedge_budget": 0.0}
-HEADERS = {"accept": "text/plain", "authorization": "Bearer x"}
+SERVICE_DOCUMENT = {
+    "name": "hop",
+    "warm_up_ms": 0,
+    "cold_in_flight": 64,
+    "hedge_budget": 0.0,
+}
+REQUEST_HEADERS = {"accept": "text/plain", "authorization": "Bearer x"}
 
 
-def _cpu():
+def _cpu_seconds():
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return usage.ru_utime + usage.ru_stime
 
 
-def _serve(pipe, make):
-    """Run ``make()`` in this process; answer each message with the processor time."""
+def _serve(pipe, start):
+    """Run ``start()`` in this process and report processor time on request.
+
+    Sends the address that ``start()`` returns, then the processor time for each true
+    message, until a false one.
+    """
 
     async def run():
-        address = await make()
+        address = await start()
         pipe.send(address)
         loop = asyncio.get_running_loop()
         while await loop.run_in_executor(None, pipe.recv):
-            pipe.send(_cpu())
+            pipe.send(_cpu_seconds())
 
     asyncio.run(run())
 
 
-async def _make_backend():
+async def _start_backend():
     backend = standins.StandinBackend("b", slots=64, warm_up_requests=0)
     backend.faults.service_time = 0.0
     await backend.start()
     return backend.address
 
 
-async def _make_bare(upstream):
-    """Litestar on uvicorn with nothing behind: the ASGI part of the hop."""
+async def _start_bare_asgi(upstream):
+    """Start Litestar on uvicorn with an empty application: the ASGI part of the hop."""
 
     @litestar.asgi("/v1/services", is_mount=True, copy_scope=False)
     async def services(
@@ -79,13 +89,13 @@
     return _listener.address_of(sock)
 
 
-async def _make_entry(upstream, trace_target=""):
+async def _start_entry(upstream, trace_target=""):
     folder = pathlib.Path(tempfile.mkdtemp())
     (folder / "key").write_bytes(b"hop-benchmark-key")
     state = standins.PublishedState()
     platform = standins.StandinPlatform(state)
     await platform.start()
-    model = configuration.ServiceDocument(**SERVICE)
+    model = configuration.ServiceDocument(**SERVICE_DOCUMENT)
     state.publish({"service.hop": configuration.encode_document(model)})
     settings = configuration.Settings.model_validate(
         {
@@ -124,38 +134,42 @@
     return process.caller_address
 
 
-class Remote:
-    """A process that serves one path."""
+class RemoteProcess:
+    """Child process that serves one path.
+
+    :param start: coroutine function that starts the server and returns its address.
+    """
 
-    def __init__(self, make):
+    def __init__(self, start):
         self._pipe, child = multiprocessing.Pipe()
         self._process = multiprocessing.Process(
-            target=_serve, args=(child, make), daemon=True
+            target=_serve, args=(child, start), daemon=True
         )
         self._process.start()
         self.address = self._pipe.recv()
 
-    def cpu(self):
-        """Return the processor seconds used so far."""
+    def cpu_seconds(self):
+        """Return the processor seconds that the process has used so far."""
         self._pipe.send(True)
         return self._pipe.recv()
 
     def stop(self):
-        """End the process."""
+        """Stop the process."""
         self._pipe.send(False)
         self._process.terminate()
         self._process.join()
 
 
-async def _client_httpx(address, path, count):
+async def _call_httpx(address, path, count):
     async with httpx.AsyncClient(trust_env=False) as client:
-        return await _timed(
-            count, lambda: client.get(f"http://{address}{path}", headers=HEADERS)
+        return await _time_calls(
+            count,
+            lambda: client.get(f"http://{address}{path}", headers=REQUEST_HEADERS),
         )
 
 
-async def _client_pool(address, path, count):
-    """The product's own upstream transport: httpcore connections in its pool."""
+async def _call_pool(address, path, count):
+    """Call through the product's backend transport: httpcore connections in a pool."""
     transport = backends.HttpBackendTransport(utils.LoopClock())
     vm = blackboard.VirtualMachine("b", "backend", address, "dc-a")
     loop = asyncio.get_running_loop()
@@ -168,10 +182,10 @@
         async for _ in answer.body:
             pass
 
-    return await _timed(count, call)
+    return await _time_calls(count, call)
 
 
-async def _client_aiohttp(address, path, count):
+async def _call_aiohttp(address, path, count):
     import aiohttp
 
     async with aiohttp.ClientSession() as session:
@@ -180,44 +194,44 @@
             async with session.get(f"http://{address}{path}") as answer:
                 await answer.read()
 
-        return await _timed(count, call)
+        return await _time_calls(count, call)
 
 
-async def _timed(count, call):
-    """Return latencies and the processor seconds of the calls after a warm-up."""
+async def _time_calls(count, call):
+    """Return the latencies and processor seconds after 50 warm-up calls."""
     for _ in range(50):
         await call()
     latencies = []
-    before = _cpu()
+    before = _cpu_seconds()
     for _ in range(count):
         started = time.perf_counter()
         await call()
         latencies.append(time.perf_counter() - started)
-    return latencies, _cpu() - before
+    return latencies, _cpu_seconds() - before
 
 
 def measure_clients(address, rounds, count):
-    """Compare upstream clients; yields (name, processor us a call) for each round."""
+    """Yield (client, processor us per call) for each round and upstream client."""
     clients = {
-        "httpcore in the pool": _client_pool,
-        "httpx": _client_httpx,
-        "aiohttp": _client_aiohttp,
+        "httpcore in the pool": _call_pool,
+        "httpx": _call_httpx,
+        "aiohttp": _call_aiohttp,
     }
     for _ in range(rounds):
         for name, client in clients.items():
-            _, cpu = asyncio.run(client(address, "/x", count))
-            yield name, 1e6 * cpu / count
+            _, cpu_seconds = asyncio.run(client(address, "/x", count))
+            yield name, 1e6 * cpu_seconds / count
 
 
 def measure_paths(paths, rounds, count):
-    """Yield (path, p50 ms, p99 ms, server processor us a call) for each round."""
+    """Yield (path, p50 ms, p99 ms, server processor us per call) for each round."""
     for _ in range(rounds):
         for name, (remote, path) in paths.items():
-            before = remote.cpu()
-            latencies, _ = asyncio.run(_client_httpx(remote.address, path, count))
-            cpu = (remote.cpu() - before) / (count + 50)
+            before = remote.cpu_seconds()
+            latencies, _ = asyncio.run(_call_httpx(remote.address, path, count))
+            cpu_seconds = (remote.cpu_seconds() - before) / (count + 50)
             p50, p99 = numpy.quantile(latencies, (0.5, 0.99)) * 1000
-            yield name, p50, p99, 1e6 * cpu
+            yield name, p50, p99, 1e6 * cpu_seconds
 
 
 def main():
@@ -226,20 +240,20 @@
     parser.add_argument("--count", type=int, default=1000)
     parser.add_argument("--json", help="write JSON lines to this file")
     options = parser.parse_args()
-    backend = Remote(_make_backend)
+    backend = RemoteProcess(_start_backend)
     trace = tempfile.mktemp(suffix=".jsonl")
     remotes = {
         "direct": (backend, "/x"),
         "litestar on uvicorn alone": (
-            Remote(lambda: _make_bare(backend.address)),
+            RemoteProcess(lambda: _start_bare_asgi(backend.address)),
             "/v1/services/hop/x",
         ),
         "boragegw": (
-            Remote(lambda: _make_entry(backend.address)),
+            RemoteProcess(lambda: _start_entry(backend.address)),
             "/v1/services/hop/x",
         ),
         "boragegw, every span recorded": (
-            Remote(lambda: _make_entry(backend.address, trace)),
+            RemoteProcess(lambda: _start_entry(backend.address, trace)),
             "/v1/services/hop/x",
         ),
     }
@@ -251,13 +265,13 @@
     return 0
 
 
-def _spread(values, digits=2):
+def _median_range(values, digits=2):
     low, high = min(values), max(values)
     return f"{numpy.median(values):.{digits}f} ({low:.{digits}f} to {high:.{digits}f})"
 
 
 def report(rows, clients, path):
-    """Print the tables and write the rows as JSON lines."""
+    """Print the tables and write the rows as JSON lines if a path is given."""
     columns = {}
     for name, *values in rows:
         columns.setdefault(name, []).append(values)
@@ -267,18 +281,20 @@
     for name, values in columns.items():
         values = numpy.array(values)
         print(
-            f"| {name} | {_spread(values[:, 0] - direct[:, 0])} | "
-            f"{_spread(values[:, 1] - direct[:, 1])} | {_spread(values[:, 2], 0)} |"
+            f"| {name} | {_median_range(values[:, 0] - direct[:, 0])} | "
+            f"{_median_range(values[:, 1] - direct[:, 1])} | "
+            f"{_median_range(values[:, 2], 0)} |"
         )
     costs = {}
     for name, cost in clients:
         costs.setdefault(name, []).append(cost)
-    base = numpy.array(costs["httpcore in the pool"])
+    pool_costs = numpy.array(costs["httpcore in the pool"])
     print("\n| upstream client | processor us a call | over the pool's |")
     print("|---|---|---|")
     for name, values in costs.items():
         print(
-            f"| {name} | {_spread(values, 0)} | {_spread(numpy.array(values) / base)} |"
+            f"| {name} | {_median_range(values, 0)} | "
+            f"{_median_range(numpy.array(values) / pool_costs)} |"
         )
     if path:
         with open(path, "w", encoding="utf-8") as file:
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,4 +1,4 @@
-"""The measurements behind the slopes of ``benchmarks.capacity``."""
+"""Measurements of state, messages and processor time for :mod:`benchmarks.capacity`."""
 
 import asyncio
 import gc
@@ -17,11 +17,12 @@
     utils,
 )
 
-SERVICES = 330
+#: Number of services that the backend servers of a list belong to.
+SERVICE_COUNT = 330
 
 
-def best_time(step, repeat=5):
-    """Return the least seconds of several runs of ``step``."""
+def min_seconds(step, repeat=5):
+    """Return the minimum processor seconds of several runs of ``step``."""
     times = []
     for _ in range(repeat):
         started = time.process_time()
@@ -30,21 +31,21 @@
     return min(times)
 
 
-def held_bytes(make):
-    """Return the bytes held by what ``make`` returns."""
+def retained_bytes(make):
+    """Return the bytes of memory retained by the return value of ``make``."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    kept = make()
+    retained = make()
     gc.collect()
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del retained
     return after - before
 
 
-def make_rows(count, services=SERVICES):
-    """Return rows of the platform's list for ``count`` backend servers."""
+def make_vm_rows(count, services=SERVICE_COUNT):
+    """Return rows of the platform's list of VMs for ``count`` backend servers."""
     return [
         {
             "name": f"backend-server-{i:05d}",
@@ -60,17 +61,17 @@
     ]
 
 
-def vm_list(count):
-    """Return the raw list of VMs."""
-    return json.dumps({"version": 1, "vms": make_rows(count)}).encode()
+def encode_vm_list(count):
+    """Return the encoded list of VMs for ``count`` backend servers."""
+    return json.dumps({"version": 1, "vms": make_vm_rows(count)}).encode()
 
 
 def make_members(count):
-    """Return ``count`` entry members."""
-    draw = random.Random(1)
+    """Return the members of ``count`` entries."""
+    random_state = random.Random(1)
     return [
         blackboard.Member(
-            draw.getrandbits(64),
+            random_state.getrandbits(64),
             f"entry-{i}",
             f"dc-{'abcd'[i % 4]}",
             f"10.0.{i >> 8}.{i & 255}:8080",
@@ -84,7 +85,10 @@
 
 
 def make_node(members, backends, services):
-    """Return a node that knows so many entries, backend servers and services."""
+    """Return a node that knows the given entries, backend servers and services.
+
+    All parameters are numbers.
+    """
     identity = blackboard.Identity("entry-own", "dc-a", 1, "10.0.0.1:1", "10.0.0.1:2")
     clock = utils.ManualClock(0.0)
     world = standins.VirtualWorld(random.Random(1))
@@ -105,7 +109,7 @@
     }
     node.board.configuration.services = settings
     node.board.configuration.revision = 1
-    rows = json.dumps({"version": 1, "vms": make_rows(backends, services)}).encode()
+    rows = json.dumps({"version": 1, "vms": make_vm_rows(backends, services)}).encode()
     _, node.board.fleet.vms = configuration.parse_vm_list(rows)
     node.board.lifecycle.state = blackboard.MemberState.SERVING
     for member in make_members(members):
@@ -115,7 +119,7 @@
 
 
 class _CountingNetwork(standins.VirtualNetwork):
-    """Encodes what is sent and counts it."""
+    """Peer network that encodes sent messages and counts them and their bytes."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
@@ -124,13 +128,13 @@
         self.sent = 0
 
     def send(self, address, message):
-        """Count one datagram."""
+        """Encode and count one datagram."""
         self.sent += 1
         self.sent_bytes += len(self.codec.encode(message))
 
 
 def heartbeat_bytes():
-    """Yield the size of a heartbeat by members known."""
+    """Yield (members known, bytes of a heartbeat)."""
     for count in (5, 15, 60, 250, 1000):
         node = make_node(count, 10, 1)
         node.network.sent = node.network.sent_bytes = 0
@@ -140,7 +144,7 @@
 
 
 def digest_bytes():
-    """Yield the size of a load digest by backend servers with work in flight."""
+    """Yield (backend servers with requests in flight, bytes of a load digest)."""
     for count in (5, 10, 20, 40, 80):
         node = make_node(0, count, 1)
         service = node.board.services["service-0"]
@@ -154,16 +158,21 @@
 
 
 def control_time(members_of, backends_of, services_of, step):
-    """Yield the processor microseconds of a control step by size."""
+    """Yield (size, processor microseconds of a control step).
+
+    :param members_of: function of the size that returns the number of entries known;
+        likewise ``backends_of`` and ``services_of``.
+    :param step: function of the node that runs the step.
+    """
     for size in (15, 60, 240, 480):
         node = make_node(members_of(size), backends_of(size), services_of(size))
         step(node)
-        seconds = best_time(lambda node=node: [step(node) for _ in range(5)])
+        seconds = min_seconds(lambda node=node: [step(node) for _ in range(5)])
         yield size, 1e6 * seconds / 5
 
 
 def message_time():
-    """Yield microseconds to encode and decode heartbeats by their number."""
+    """Yield (heartbeats, microseconds to encode and decode them)."""
     clock = utils.ManualClock(1000.0)
     node = make_node(60, 10, 1)
     message = node.membership._heartbeat()
@@ -175,33 +184,33 @@
             for _ in range(count):
                 receiver.decode(sender.encode(message))
 
-        yield count, 1e6 * best_time(exchange)
+        yield count, 1e6 * min_seconds(exchange)
 
 
 def backend_memory():
-    """Yield bytes by backend servers, the parsed list of VMs included."""
+    """Yield (backend servers, bytes of memory), including the parsed list of VMs."""
     for count in (500, 1000, 2000, 4000):
 
         def make(count=count):
             return make_node(0, count, 10)
 
-        yield count, held_bytes(make)
+        yield count, retained_bytes(make)
 
 
 def service_memory():
-    """Yield bytes by services."""
+    """Yield (services, bytes of memory)."""
     for count in (50, 100, 200, 330):
-        yield count, held_bytes(lambda count=count: make_node(0, 10, count))
+        yield count, retained_bytes(lambda count=count: make_node(0, 10, count))
 
 
 def member_memory():
-    """Yield bytes by entries known."""
+    """Yield (entries known, bytes of memory)."""
     for count in (100, 200, 400, 800):
-        yield count, held_bytes(lambda count=count: make_members(count))
+        yield count, retained_bytes(lambda count=count: make_members(count))
 
 
 def key_memory():
-    """Yield bytes by keys recorded, each with an answer of 200 bytes."""
+    """Yield (idempotency keys recorded, bytes of memory), with answers of 200 bytes."""
     lease = decisions.Lease(1, "10.0.0.1:2", 0.0, 600.0)
 
     def make(count):
@@ -216,11 +225,11 @@
         return table
 
     for count in (1000, 2000, 4000, 8000):
-        yield count, held_bytes(lambda count=count: make(count))
+        yield count, retained_bytes(lambda count=count: make(count))
 
 
 def decode_time():
-    """Yield milliseconds to decode and check service documents by their number."""
+    """Yield (service documents, milliseconds to decode and validate them)."""
     for count in (20, 40, 80, 160):
         documents = {
             f"service.s{i}": configuration.encode_document(
@@ -232,7 +241,7 @@
         yield (
             count,
             1e3
-            * best_time(
+            * min_seconds(
                 lambda head=head, documents=documents: configuration.parse_bundle(
                     head, documents
                 )
@@ -241,30 +250,30 @@
 
 
 def vm_list_time():
-    """Yield milliseconds to decode the list of VMs by its rows."""
+    """Yield (rows of the list of VMs, milliseconds to decode it)."""
     for count in (500, 1000, 2000, 4000):
-        raw = vm_list(count)
-        yield count, 1e3 * best_time(lambda raw=raw: configuration.parse_vm_list(raw))
+        raw = encode_vm_list(count)
+        yield count, 1e3 * min_seconds(lambda raw=raw: configuration.parse_vm_list(raw))
 
 
 def vm_list_bytes():
-    """Yield the bytes of the list of VMs by its rows."""
+    """Yield (rows of the list of VMs, bytes of it)."""
     for count in (500, 1000, 2000, 4000):
-        yield count, len(vm_list(count))
+        yield count, len(encode_vm_list(count))
 
 
 def platform_reads():
-    """Yield reads a second at the platform by entries, three data centres."""
+    """Yield (entries in three data centres, platform reads per second)."""
     for count in (6, 9, 15, 24):
-        yield count, utils.run_virtual(_count_reads(count))
+        yield count, utils.run_virtual(_measure_read_rate(count))
 
 
-async def _count_reads(count, seconds=20.0):
+async def _measure_read_rate(count, seconds=20.0):
     fleet = standins.VirtualFleet([standins.ServiceShape("s", 3, 2)], count, 1)
     await fleet.start()
     await asyncio.sleep(5.0)
-    before = fleet.state.reads
+    reads_before = fleet.state.reads
     await asyncio.sleep(seconds)
-    reads = fleet.state.reads - before
+    reads = fleet.state.reads - reads_before
     await fleet.close()
     return reads / seconds
