--- a/benchmarks/aims.py
+++ b/benchmarks/aims.py
@@ -10,7 +10,7 @@
 
 import numpy
 
-from benchmarks import compare, load, policies, shapes
+from benchmarks import compare, contenders, load, workloads
 
 #: One service of each user, as ``user/name``.
 SERVICES = ("liffeyside/filing", "habimana/claims")
@@ -25,10 +25,10 @@
 
 
 def _measure(service, utilization, seed, seconds, **options):
-    contender = options.pop("contender", policies.product_contender())
+    contender = options.pop("contender", contenders.product_contender())
     return load.measure(
         load.LoadRun(
-            shapes.find_service(service),
+            workloads.find_service(service),
             contender,
             utilization,
             seed,
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -11,7 +11,7 @@
 
 import numpy
 
-from benchmarks import slopes
+from benchmarks import capacity_measurements
 
 #: Target size in two years: backend servers, services, calls per second of the fleet,
 #: and idempotency keys recorded by an entry.
@@ -62,18 +62,26 @@
 
 def measure_slopes():
     """Yield the fitted lines of all measurements."""
-    yield fit_line("heartbeat", "bytes", "entry known", slopes.heartbeat_bytes())
     yield fit_line(
-        "load digest", "bytes", "backend server in use", slopes.digest_bytes()
+        "heartbeat", "bytes", "entry known", capacity_measurements.heartbeat_bytes()
     )
     yield fit_line(
-        "heartbeats coded", "us", "message sent and taken", slopes.message_time()
+        "load digest",
+        "bytes",
+        "backend server in use",
+        capacity_measurements.digest_bytes(),
+    )
+    yield fit_line(
+        "heartbeats coded",
+        "us",
+        "message sent and taken",
+        capacity_measurements.message_time(),
     )
     yield fit_line(
         "refresh, view unchanged",
         "us",
         "entry known",
-        slopes.control_time(
+        capacity_measurements.control_time(
             lambda n: n, lambda n: 330, lambda n: 10, lambda node: node._refresh()
         ),
     )
@@ -81,7 +89,7 @@
         "refresh, view changed",
         "us",
         "10 backend servers",
-        slopes.control_time(
+        capacity_measurements.control_time(
             lambda n: 60,
             lambda n: 10 * n,
             lambda n: 10,
@@ -92,7 +100,7 @@
         "digest round",
         "us",
         "service",
-        slopes.control_time(
+        capacity_measurements.control_time(
             lambda n: 60, lambda n: 480, lambda n: n, lambda node: node._gossip()
         ),
     )
@@ -100,22 +108,41 @@
         "tick",
         "us",
         "service",
-        slopes.control_time(
+        capacity_measurements.control_time(
             lambda n: 15, lambda n: 480, lambda n: n, lambda node: node._tick()
         ),
     )
     yield fit_line(
-        "backend servers held", "bytes", "backend server", slopes.backend_memory()
+        "backend servers held",
+        "bytes",
+        "backend server",
+        capacity_measurements.backend_memory(),
+    )
+    yield fit_line(
+        "services held", "bytes", "service", capacity_measurements.service_memory()
+    )
+    yield fit_line(
+        "entries held", "bytes", "entry known", capacity_measurements.member_memory()
+    )
+    yield fit_line(
+        "keys held",
+        "bytes",
+        "key with a 200 byte answer",
+        capacity_measurements.key_memory(),
+    )
+    yield fit_line(
+        "documents decoded",
+        "ms",
+        "service document",
+        capacity_measurements.decode_time(),
+    )
+    yield fit_line(
+        "list of VMs decoded", "ms", "VM", capacity_measurements.vm_list_time()
     )
-    yield fit_line("services held", "bytes", "service", slopes.service_memory())
-    yield fit_line("entries held", "bytes", "entry known", slopes.member_memory())
+    yield fit_line("list of VMs", "bytes", "VM", capacity_measurements.vm_list_bytes())
     yield fit_line(
-        "keys held", "bytes", "key with a 200 byte answer", slopes.key_memory()
+        "platform reads", "reads/s", "entry", capacity_measurements.platform_reads()
     )
-    yield fit_line("documents decoded", "ms", "service document", slopes.decode_time())
-    yield fit_line("list of VMs decoded", "ms", "VM", slopes.vm_list_time())
-    yield fit_line("list of VMs", "bytes", "VM", slopes.vm_list_bytes())
-    yield fit_line("platform reads", "reads/s", "entry", slopes.platform_reads())
 
 
 def print_slopes(rows):
--- a/benchmarks/compare.py
+++ b/benchmarks/compare.py
@@ -1,4 +1,4 @@
-"""Comparison of placement policies: ``python -m benchmarks.compare [--short]``."""
+"""Comparison with baselines and an oracle: ``python -m benchmarks.compare``."""
 
 import argparse
 import concurrent.futures
@@ -7,7 +7,7 @@
 
 import numpy
 
-from benchmarks import load, policies, shapes
+from benchmarks import contenders, load, workloads
 
 WORKERS = 5
 
@@ -15,10 +15,10 @@
 def run_job(job):
     """Return the row of a (service, contender, load, seed, seconds, variants)."""
     service, name, utilization, seed, seconds, variants = job
-    contender = contenders(variants)[name]
+    contender = contenders_by_name(variants)[name]
     result = load.measure(
         load.LoadRun(
-            shapes.find_service(service), contender, utilization, seed, seconds
+            workloads.find_service(service), contender, utilization, seed, seconds
         )
     )
     return {
@@ -37,15 +37,15 @@
     }
 
 
-def contenders(variants=""):
+def contenders_by_name(variants=""):
     """Return all contenders by name.
 
     :param variants: Python expression of a list of further contenders; ``ours`` is the
-        product and ``p`` the module :mod:`benchmarks.policies`.
+        product and ``p`` the module :mod:`benchmarks.contenders`.
     """
-    rows = [*policies.BASELINES, policies.product_contender(), policies.ORACLE]
+    rows = [*contenders.BASELINES, contenders.product_contender(), contenders.ORACLE]
     if variants:
-        rows += eval(variants, {"ours": policies.product_contender, "p": policies})  # noqa: S307
+        rows += eval(variants, {"ours": contenders.product_contender, "p": contenders})  # noqa: S307
     return {row.name: row for row in rows}
 
 
@@ -134,8 +134,8 @@
     parser.add_argument("--reference", default="oracle")
     parser.add_argument("--json", help="write JSON lines to this file")
     options = parser.parse_args()
-    services = options.services or [f"{s.user}/{s.name}" for s in shapes.SERVICES]
-    names = options.only or list(contenders(options.variants))
+    services = options.services or [f"{s.user}/{s.name}" for s in workloads.SERVICES]
+    names = options.only or list(contenders_by_name(options.variants))
     seconds = 2.0 if options.short else options.seconds
     seeds = 1 if options.short else options.seeds
     jobs = [
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -9,7 +9,7 @@
 
 import numpy
 
-from benchmarks import shapes
+from benchmarks import workloads
 from boragegw import errors, standins, utils
 
 #: Share of the requests that are idempotent.
@@ -78,8 +78,8 @@
 class LoadRun:
     """Run of one service under load.
 
-    :param service: a :class:`~benchmarks.shapes.UserService`.
-    :param contender: a :class:`~benchmarks.policies.Contender`.
+    :param service: a :class:`~benchmarks.workloads.UserService`.
+    :param contender: a :class:`~benchmarks.contenders.Contender`.
     :param utilization: offered work over the capacity of all slots.
     :param events: list of (seconds after the start, function of this run).
     :param report_lag: seconds by which load reports are late.
@@ -126,11 +126,11 @@
 
     async def run(self):
         """Run the load and return the :class:`LoadResult`."""
-        shape = shapes.service_spec(
+        spec = workloads.service_spec(
             self.service, {**self.contender.document, **self.document}
         )
         self.fleet = standins.VirtualFleet(
-            [shape],
+            [spec],
             self.contender.entries,
             self.seed,
             lambda index: self.contender.parameters(index, self._true_load),
@@ -182,9 +182,11 @@
         """Repeatedly slow a backend server tenfold for tens of milliseconds."""
         draw = random.Random(f"{self.seed}/neighbour/{backend.name}")
         while True:
-            await asyncio.sleep(draw.expovariate(1 / shapes.NEIGHBOUR_INTERVAL_SECONDS))
-            backend.faults.slow_factor = shapes.NEIGHBOUR_SLOWDOWN
-            await asyncio.sleep(draw.uniform(*shapes.NEIGHBOUR_DURATION_SECONDS))
+            await asyncio.sleep(
+                draw.expovariate(1 / workloads.NEIGHBOUR_INTERVAL_SECONDS)
+            )
+            backend.faults.slow_factor = workloads.NEIGHBOUR_SLOWDOWN
+            await asyncio.sleep(draw.uniform(*workloads.NEIGHBOUR_DURATION_SECONDS))
             backend.faults.slow_factor = 1.0
 
     async def _run_event(self, moment, event):
@@ -198,13 +200,13 @@
         loop = asyncio.get_running_loop()
         draw = random.Random(f"{self.seed}/arrivals")
         slots = self.service.backends * self.service.slots
-        rate = self.utilization * slots / shapes.MEAN_SERVICE_SECONDS
+        rate = self.utilization * slots / workloads.MEAN_SERVICE_SECONDS
         tasks = set()
         number = 0
         phase, factor = loop.time(), 1.0
         while loop.time() < end:
             if self.bursts and loop.time() >= phase:
-                factor, length = draw.choice(shapes.BURST_PHASES)
+                factor, length = draw.choice(workloads.BURST_PHASES)
                 phase = loop.time() + draw.expovariate(1 / length)
             await asyncio.sleep(draw.expovariate(rate * factor))
             number += 1
