--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the real code; each module is run with ``python -m``."""
+"""Benchmarks; those with a command line are run with ``python -m``."""
