--- a/benchmarks/capacity_measurements.py
+++ b/benchmarks/capacity_measurements.py
@@ -152,7 +152,7 @@
             backend.own_in_flight = 3
             backend.cold_epoch = 1_700_000_000_000
         counts = node.gossip._counts("service-0", service)
-        rows = node.gossip._some_temperatures(service)
+        rows = node.gossip._sample_temperatures(service)
         digest = peers.LoadDigest("service-0", counts, rows)
         yield count, len(node.network.codec.encode(digest))
 
@@ -175,7 +175,7 @@
     """Yield (heartbeats, microseconds to encode and decode them)."""
     clock = utils.ManualClock(1000.0)
     node = make_node(60, 10, 1)
-    message = node.membership._heartbeat()
+    message = node.membership._next_heartbeat()
     for count in (50, 100, 200, 400):
         sender = peers.DatagramCodec(b"s" * 16, 1, clock)
         receiver = peers.DatagramCodec(b"s" * 16, 2, clock)
