--- a/benchmarks/contenders.py
+++ b/benchmarks/contenders.py
@@ -6,7 +6,8 @@
 from boragegw import decisions, server
 
 ENTRY_COUNT = 15
-#: Requests in flight per slot: the maximum of the setting, to not limit the baselines.
+#: Requests in flight per slot for the baselines: the maximum of the setting, so that it
+#: does not limit them.
 UNLIMITED_FACTOR = 10.0
 
 
--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -198,7 +198,7 @@
 
 
 async def _time_calls(count, call):
-    """Return the latencies and processor seconds after 50 warm-up calls."""
+    """Return latencies and processor seconds of ``count`` calls after a warm-up."""
     for _ in range(50):
         await call()
     latencies = []
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -180,13 +180,15 @@
 
     async def _simulate_noisy_neighbours(self, backend):
         """Repeatedly slow a backend server tenfold for tens of milliseconds."""
-        draw = random.Random(f"{self.seed}/neighbour/{backend.name}")
+        random_state = random.Random(f"{self.seed}/neighbour/{backend.name}")
         while True:
             await asyncio.sleep(
-                draw.expovariate(1 / workloads.NEIGHBOUR_INTERVAL_SECONDS)
+                random_state.expovariate(1 / workloads.NEIGHBOUR_INTERVAL_SECONDS)
             )
             backend.faults.slow_factor = workloads.NEIGHBOUR_SLOWDOWN
-            await asyncio.sleep(draw.uniform(*workloads.NEIGHBOUR_DURATION_SECONDS))
+            await asyncio.sleep(
+                random_state.uniform(*workloads.NEIGHBOUR_DURATION_SECONDS)
+            )
             backend.faults.slow_factor = 1.0
 
     async def _run_event(self, moment, event):
@@ -198,28 +200,30 @@
 
     async def _generate_arrivals(self, end):
         loop = asyncio.get_running_loop()
-        draw = random.Random(f"{self.seed}/arrivals")
+        random_state = random.Random(f"{self.seed}/arrivals")
         slots = self.service.backends * self.service.slots
         rate = self.utilization * slots / workloads.MEAN_SERVICE_SECONDS
         tasks = set()
         number = 0
-        phase, factor = loop.time(), 1.0
+        phase_end, factor = loop.time(), 1.0
         while loop.time() < end:
-            if self.bursts and loop.time() >= phase:
-                factor, length = draw.choice(workloads.BURST_PHASES)
-                phase = loop.time() + draw.expovariate(1 / length)
-            await asyncio.sleep(draw.expovariate(rate * factor))
+            if self.bursts and loop.time() >= phase_end:
+                factor, length = random_state.choice(workloads.BURST_PHASES)
+                phase_end = loop.time() + random_state.expovariate(1 / length)
+            await asyncio.sleep(random_state.expovariate(rate * factor))
             number += 1
-            task = loop.create_task(self._send_request(draw, number))
+            task = loop.create_task(self._send_request(random_state, number))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         if tasks:
             await asyncio.wait(tasks, timeout=15.0)
 
-    async def _send_request(self, draw, number):
+    async def _send_request(self, random_state, number):
         loop = asyncio.get_running_loop()
-        idempotent = draw.random() < IDEMPOTENT_SHARE
-        caller = f"caller-{int(CALLER_COUNT * draw.random() ** self.caller_skew)}"
+        idempotent = random_state.random() < IDEMPOTENT_SHARE
+        caller = (
+            f"caller-{int(CALLER_COUNT * random_state.random() ** self.caller_skew)}"
+        )
         started = loop.time()
         try:
             index, key = self._choose_entry(caller, number, idempotent)
@@ -248,8 +252,8 @@
         now = asyncio.get_running_loop().time()
         cached_at, found = self._lookup_cache.get(caller, (float("-inf"), None))
         if found is None or now - cached_at > found.keep_for_ms / 1000:
-            asked = self.fleet.entries[number % len(self.fleet.entries)]
-            found = asked.directory.lookup(self.service.name, caller)
+            queried_entry = self.fleet.entries[number % len(self.fleet.entries)]
+            found = queried_entry.directory.lookup(self.service.name, caller)
             self._lookup_cache[caller] = (now, found)
         index = int(found.entries[0].split(".")[3].partition(":")[0]) - 1
         return index, "" if idempotent else f"{found.lease}.{number}"
