--- a/boragegw/backends/__init__.py
+++ b/boragegw/backends/__init__.py
@@ -1,20 +1,20 @@
-"""Attempts on backend servers: connections, verdicts, load reports."""
+"""Transport to backend servers: connection pools, attempts and load reports."""
 
 from boragegw.backends._base import (
     Attempt,
     AttemptError,
-    BackendAnswer,
+    BackendResponse,
     BackendTransport,
     Failure,
 )
 from boragegw.backends._http import HttpBackendTransport
+from boragegw.backends._load_reports import format_report, parse_report
 from boragegw.backends._pool import ConnectionPool
-from boragegw.backends._reports import format_report, parse_report
 
 __all__ = [
     "Attempt",
     "AttemptError",
-    "BackendAnswer",
+    "BackendResponse",
     "BackendTransport",
     "ConnectionPool",
     "Failure",
