--- a/boragegw/controllers/_dispatcher.py
+++ b/boragegw/controllers/_dispatcher.py
@@ -13,7 +13,7 @@
 
     :param board: the blackboard; this controller writes counts and queues.
     :param placement: a :class:`~boragegw.decisions.PlacementPolicy`.
-    :param limits: a :class:`~boragegw.decisions.LimitPolicy`.
+    :param limits: a :class:`~boragegw.decisions.ConcurrencyLimitPolicy`.
     :param queue: a :class:`~boragegw.decisions.QueuePolicy`.
     """
 
--- a/boragegw/controllers/_health_observer.py
+++ b/boragegw/controllers/_health_observer.py
@@ -21,8 +21,8 @@
 
     :param transport: a :class:`~boragegw.backends.BackendTransport`.
     :param dispatcher: the :class:`Dispatcher`.
-    :param ramp: a :class:`~boragegw.decisions.RampPolicy`.
-    :param slowdown: a :class:`~boragegw.decisions.SlowdownPolicy`.
+    :param ramp: a :class:`~boragegw.decisions.SlowStartPolicy`.
+    :param slowdown: a :class:`~boragegw.decisions.OutlierDetectionPolicy`.
     :param hedging: a :class:`~boragegw.decisions.HedgePolicy`.
 
     ``on_temperature_change`` is called with (service, backend) when this entry observes
--- a/boragegw/controllers/_services.py
+++ b/boragegw/controllers/_services.py
@@ -10,7 +10,7 @@
 
     :param subsets: a :class:`~boragegw.decisions.SubsetPolicy`.
     :param membership: a :class:`~boragegw.decisions.MembershipPolicy`.
-    :param ramp: a :class:`~boragegw.decisions.RampPolicy`.
+    :param ramp: a :class:`~boragegw.decisions.SlowStartPolicy`.
     """
 
     def __init__(self, board, clock, dispatcher, subsets, membership, ramp):
