--- a/boragegw/server/_node.py
+++ b/boragegw/server/_node.py
@@ -169,7 +169,7 @@
             parameters.table_limit, parameters.retention, parameters.stored_bytes
         )
         self.leases = decisions.LeaseAuthority(secret)
-        policies = entry.Policies(
+        policies = entry.ExecutionPolicies(
             decisions.RetryPolicy(), self.hedging, decisions.QuarantinePolicy()
         )
         self.executor = entry.Executor(
@@ -182,7 +182,7 @@
             self.tasks,
             self.tracer,
         )
-        self.home = entry.Home(
+        self.home = entry.AtMostOnceExecutor(
             self.board,
             self.clock,
             self.keys,
@@ -190,7 +190,7 @@
             self.executions,
             parameters.answer_limit,
         )
-        self.carrier = entry.Carrier(
+        self.carrier = entry.RequestRouter(
             self.board,
             self.clock,
             self.home,
@@ -232,7 +232,7 @@
 
     def _configuration_changed(self):
         self.services.refresh()
-        self.transport.set_sharers(sum(1 for _ in self.board.fleet.entries()))
+        self.transport.set_entry_count(sum(1 for _ in self.board.fleet.entries()))
         self.membership.broadcast_heartbeat()
 
     @property
@@ -365,7 +365,7 @@
 
     async def _hand_table(self, member, table):
         try:
-            await self.network.hand_over(member.peer_address, table)
+            await self.network.send_sealed_table(member.peer_address, table)
         except peers.PeerError as error:
             logger.warning("key table not handed over: %s", error)
 
