--- a/boragegw/entry/tests/histories.py
+++ b/boragegw/entry/tests/histories.py
@@ -19,10 +19,10 @@
         n, "crash_before"
     ),
     "backend server crashes after it ran": lambda run, n: run.spoil(n, "crash_after"),
-    "answer is lost": lambda run, n: run.spoil(n, "lose_answer"),
-    "answer is late": lambda run, n: run.spoil(n, "late_answer"),
-    "answer is crossed": lambda run, n: run.spoil(n, "crossed_answer"),
-    "answer is truncated": lambda run, n: run.spoil(n, "truncate_answer"),
+    "answer is lost": lambda run, n: run.spoil(n, "lose_response"),
+    "answer is late": lambda run, n: run.spoil(n, "late_response"),
+    "answer is crossed": lambda run, n: run.spoil(n, "mismatched_response"),
+    "answer is truncated": lambda run, n: run.spoil(n, "truncate_response"),
     "connections go silent": lambda run, n: run.silence(n),
     "backend server refuses": lambda run, n: run.switch(n, "refuse"),
     "backend server slows down": lambda run, n: run.slow_down(n),
@@ -222,7 +222,7 @@
             return
         code = dict(answer.headers).get(b"boragegw-code", b"").decode()
         self.answers.append(
-            standins.AnswerEvent(
+            standins.ResponseEvent(
                 loop.time(),
                 key,
                 answer.status,
--- a/boragegw/entry/tests/test_history.py
+++ b/boragegw/entry/tests/test_history.py
@@ -38,14 +38,14 @@
 @hypothesis.given(seed=strategies.integers(0, 10_000), schedule=schedules)
 def test_every_history_keeps_the_promises(seed, schedule):
     outcome = utils.run_virtual(HistoryRun(seed, schedule).run())
-    assert standins.violations(outcome.runs, outcome.answers) == []
+    assert standins.find_violations(outcome.runs, outcome.answers) == []
 
 
 @pytest.mark.parametrize("name", sorted(FAULTS))
 def test_each_fault_alone_and_twice(name):
     schedule = [(0.2, name, 1), (1.2, name, 2)]
     outcome = utils.run_virtual(HistoryRun(7, schedule).run())
-    assert standins.violations(outcome.runs, outcome.answers) == []
+    assert standins.find_violations(outcome.runs, outcome.answers) == []
     assert any(answer.status == 200 for answer in outcome.answers)
 
 
@@ -71,7 +71,7 @@
     first, second = (BRIEF_LINES[line] for line in pair)
     schedule = [(0.3, first, 0), (0.35, second, 1), (1.5, second, 2), (1.6, first, 3)]
     outcome = utils.run_virtual(HistoryRun(11, schedule).run())
-    assert standins.violations(outcome.runs, outcome.answers) == []
+    assert standins.find_violations(outcome.runs, outcome.answers) == []
     assert all(outcome.recovered)
 
 
@@ -197,7 +197,7 @@
 def found_with(seed, schedule):
     """Return the violations of a run."""
     outcome = utils.run_virtual(HistoryRun(seed, schedule).run())
-    return standins.violations(outcome.runs, outcome.answers)
+    return standins.find_violations(outcome.runs, outcome.answers)
 
 
 @pytest.mark.parametrize("schedule", ["REFUSALS", "REPLACEMENTS"])
@@ -208,6 +208,6 @@
 
 def test_same_schedule_without_defect_is_clean():
     outcome = utils.run_virtual(HistoryRun(3, HARD_SCHEDULE).run())
-    assert standins.violations(outcome.runs, outcome.answers) == []
+    assert standins.find_violations(outcome.runs, outcome.answers) == []
     verdicts = {answer.verdict for answer in outcome.answers}
     assert errors.Verdict.RAN.value in verdicts
--- a/boragegw/standins/__init__.py
+++ b/boragegw/standins/__init__.py
@@ -1,9 +1,9 @@
 """Small platform and backend servers with switchable faults, for tests and the demo."""
 
 from boragegw.standins._backend import BackendFaults, StandinBackend
-from boragegw.standins._caller import Caller, CallerAnswer
+from boragegw.standins._caller import Caller, CallerResponse
 from boragegw.standins._fleet import LocalFleet
-from boragegw.standins._history import AnswerEvent, violations
+from boragegw.standins._history import ResponseEvent, find_violations
 from boragegw.standins._memory_network import (
     HOST,
     MemoryLoop,
@@ -33,10 +33,10 @@
     "in_memory",
     "many_routes",
     "noisy_world",
-    "AnswerEvent",
+    "ResponseEvent",
     "BackendFaults",
     "Caller",
-    "CallerAnswer",
+    "CallerResponse",
     "CallerLoad",
     "LocalFleet",
     "MemoryLoop",
@@ -60,5 +60,5 @@
     "WireWorld",
     "request_bytes",
     "run_in_memory",
-    "violations",
+    "find_violations",
 ]
--- a/boragegw/standins/_caller.py
+++ b/boragegw/standins/_caller.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class CallerAnswer:
+class CallerResponse:
     """What a caller got.
 
     :param verdict: text of the verdict header, "" if there was no answer.
@@ -83,7 +83,7 @@
             content=content,
             headers=sent,
         )
-        return CallerAnswer(
+        return CallerResponse(
             response.status_code,
             response.headers.get("boragegw-verdict", ""),
             response.content,
--- a/boragegw/standins/_history.py
+++ b/boragegw/standins/_history.py
@@ -5,7 +5,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerEvent:
+class ResponseEvent:
     """An answer that a caller received.
 
     :param expected: the body of the caller's own whole answer.
@@ -20,11 +20,11 @@
     code: str = ""
 
 
-def violations(runs, answers):
+def find_violations(runs, answers):
     """Return a line for each broken promise in a history.
 
     :param runs: :class:`RunEvent` list, as the backend servers recorded it.
-    :param answers: :class:`AnswerEvent` list, as the callers recorded it.
+    :param answers: :class:`ResponseEvent` list, as the callers recorded it.
     """
     found = []
     found += _ran_twice(runs)
--- a/boragegw/standins/_virtual_backend.py
+++ b/boragegw/standins/_virtual_backend.py
@@ -36,10 +36,10 @@
     down: bool = False
     crash_before: int = 0
     crash_after: int = 0
-    lose_answer: int = 0
-    late_answer: int = 0
-    crossed_answer: int = 0
-    truncate_answer: int = 0
+    lose_response: int = 0
+    late_response: int = 0
+    mismatched_response: int = 0
+    truncate_response: int = 0
     poison: str = ""
     report_lag: float = 0.0
     report_lie: float = 0.0
--- a/boragegw/standins/_virtual_transport.py
+++ b/boragegw/standins/_virtual_transport.py
@@ -91,13 +91,13 @@
 
     async def _travel_back(self, server, attempt):
         faults = server.faults
-        if faults.spend("lose_answer") or not self.reachable(server.vm):
+        if faults.spend("lose_response") or not self.reachable(server.vm):
             await asyncio.sleep(3600)
-        if faults.spend("late_answer"):
+        if faults.spend("late_response"):
             await asyncio.sleep(1.0)
         await asyncio.sleep(self.delay(server.vm))
         await self.gate()
-        if faults.spend("crossed_answer"):
+        if faults.spend("mismatched_response"):
             raise backends.AttemptError(
                 backends.Failure.MISMATCH,
                 errors.Verdict.MAY_HAVE_RUN,
@@ -147,7 +147,7 @@
         return self._answer(server, attempt, 200, content)
 
     def _answer(self, server, attempt, status, content):
-        truncated = server.faults.spend("truncate_answer")
+        truncated = server.faults.spend("truncate_response")
         headers = [(b"content-length", str(len(content)).encode())]
         body = _parts(content, truncated)
         report = server.report(server.loop_time())
