--- a/benchmarks/aims.py
+++ b/benchmarks/aims.py
@@ -58,11 +58,11 @@
 
 
 def _cut(run):
-    run.fleet.world.cut("dc-a", "dc-c")
+    run.fleet.simulator.cut("dc-a", "dc-c")
 
 
 def _heal(run):
-    run.fleet.world.heal()
+    run.fleet.simulator.heal()
 
 
 def cold_start(service, seed, seconds):
@@ -94,7 +94,7 @@
 
 def _pause_reader(run):
     node = run.fleet.entries[0]
-    run.fleet.world.pause(node.board.identity.peer_address)
+    run.fleet.simulator.pause(node.board.identity.peer_address)
 
 
 def _late_work(result, after=2.0):
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -124,7 +124,7 @@
         loop = asyncio.get_running_loop()
         start = loop.time()
         probes = sum(s.probes for s in self.fleet.servers.values())
-        datagrams = self.fleet.world.datagrams
+        datagrams = self.fleet.simulator.datagrams
         background = [loop.create_task(self._disturb(s)) for s in self._disturbed()]
         background += [
             loop.create_task(self._event(start + moment, event))
@@ -137,7 +137,7 @@
             self.samples,
             sum(t.sends for t in self.fleet.transports.values()),
             sum(s.probes for s in self.fleet.servers.values()) - probes,
-            self.fleet.world.datagrams - datagrams,
+            self.fleet.simulator.datagrams - datagrams,
             self.fleet.log,
             max(s.worst_cold_ratio for s in self.fleet.servers.values()),
             max(s.worst_late_cold_ratio for s in self.fleet.servers.values()),
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -87,8 +87,8 @@
     """Return a node that knows so many entries, backend servers and services."""
     identity = blackboard.Identity("entry-own", "dc-a", 1, "10.0.0.1:1", "10.0.0.1:2")
     clock = utils.ManualClock(0.0)
-    world = standins.VirtualWorld(random.Random(1))
-    platform = standins.VirtualPlatform(standins.PublishedState(), None)
+    world = standins.NetworkSimulator(random.Random(1))
+    platform = standins.VirtualPlatformSource(standins.PublishedState(), None)
     node = server.Node(
         identity,
         clock=clock,
@@ -114,7 +114,7 @@
     return node
 
 
-class _CountingNetwork(standins.VirtualNetwork):
+class _CountingNetwork(standins.VirtualPeerNetwork):
     """Encodes what is sent and counts it."""
 
     def __init__(self, *arguments):
--- a/boragegw/controllers/tests/test_warmers.py
+++ b/boragegw/controllers/tests/test_warmers.py
@@ -69,8 +69,8 @@
     """
 
     async def scenario(fleet):
-        fleet.world.cut("dc-a", "dc-b")
-        fleet.world.cut("dc-a", "dc-c")
+        fleet.simulator.cut("dc-a", "dc-b")
+        fleet.simulator.cut("dc-a", "dc-c")
         await asyncio.sleep(4.0)
         counts = {name: len(warmers_of(fleet, name)) for name in fleet.servers}
         assert set(counts.values()) == {1}
--- a/boragegw/entry/tests/histories.py
+++ b/boragegw/entry/tests/histories.py
@@ -80,9 +80,9 @@
         for fault in faults:
             fault.cancel()
         await asyncio.gather(*faults, return_exceptions=True)
-        self.fleet.world.heal()
+        self.fleet.simulator.heal()
         for index in range(ENTRIES):
-            self.fleet.world.wake(self.fleet.peer_address(index))
+            self.fleet.simulator.resume(self.fleet.peer_address(index))
         await asyncio.sleep(6.0)
         recovered = [await self._serves(index) for index in sorted(self.fleet.entries)]
         await self.fleet.close()
@@ -124,9 +124,9 @@
 
     async def pause(self, number):
         address = self.fleet.peer_address(self._index(number))
-        self.fleet.world.pause(address)
+        self.fleet.simulator.pause(address)
         await asyncio.sleep(0.7)
-        self.fleet.world.wake(address)
+        self.fleet.simulator.resume(address)
 
     async def replace(self, number):
         index = self._index(number)
@@ -136,15 +136,15 @@
 
     async def cut_entry(self, number):
         address = self.fleet.peer_address(self._index(number))
-        self.fleet.world.cut_entry(address)
+        self.fleet.simulator.isolate(address)
         await asyncio.sleep(0.6)
-        self.fleet.world.cut_pairs.discard(address)
+        self.fleet.simulator.cuts.discard(address)
 
     async def partition(self, number):
         pair = ("dc-a", "dc-b", "dc-c", "dc-a")[number % 3 : number % 3 + 2]
-        self.fleet.world.cut(*pair)
+        self.fleet.simulator.cut(*pair)
         await asyncio.sleep(0.8)
-        self.fleet.world.cut_pairs.discard(frozenset(pair))
+        self.fleet.simulator.cuts.discard(frozenset(pair))
 
     def spoil(self, number, fault):
         faults = self._server(number).faults
--- a/boragegw/standins/__init__.py
+++ b/boragegw/standins/__init__.py
@@ -14,9 +14,9 @@
 from boragegw.standins._virtual_backend import RunEvent, VirtualBackend, VirtualFaults
 from boragegw.standins._virtual_fleet import ServiceShape, VirtualFleet
 from boragegw.standins._virtual_network import (
-    VirtualNetwork,
-    VirtualPlatform,
-    VirtualWorld,
+    NetworkSimulator,
+    VirtualPeerNetwork,
+    VirtualPlatformSource,
 )
 from boragegw.standins._virtual_transport import VirtualTransport
 from boragegw.standins._wire_backend import WireBackend, WireFaults
@@ -50,10 +50,10 @@
     "VirtualBackend",
     "VirtualFaults",
     "VirtualFleet",
-    "VirtualNetwork",
-    "VirtualPlatform",
+    "VirtualPeerNetwork",
+    "VirtualPlatformSource",
     "VirtualTransport",
-    "VirtualWorld",
+    "NetworkSimulator",
     "WireBackend",
     "WireFaults",
     "WireStore",
--- a/boragegw/standins/_virtual_fleet.py
+++ b/boragegw/standins/_virtual_fleet.py
@@ -50,7 +50,9 @@
         self.seed = seed
         self.parameters = parameters or (lambda index: server.NodeParameters())
         self.random_state = random.Random(seed)
-        self.world = _virtual_network.VirtualWorld(random.Random(seed + 1), loss)
+        self.simulator = _virtual_network.NetworkSimulator(
+            random.Random(seed + 1), loss
+        )
         self.state = _platform.PublishedState()
         self.log = []
         self.servers = {}
@@ -146,22 +148,22 @@
             address,
         )
 
-        async def gate():
-            await self.world.gate(address)
+        async def wait_while_paused():
+            await self.simulator.wait_while_paused(address)
 
         async def sleep(seconds):
             await asyncio.sleep(seconds)
-            await gate()
+            await wait_while_paused()
 
-        transport = self._make_transport(address, data_centre, gate)
-        source = _virtual_network.VirtualPlatform(self.state, gate)
+        transport = self._make_transport(address, data_centre, wait_while_paused)
+        source = _virtual_network.VirtualPlatformSource(self.state, wait_while_paused)
         node = server.Node(
             identity,
             clock=utils.LoopClock(WALL_START),
             random_state=random.Random(incarnation),
             transport=transport,
-            network=_virtual_network.VirtualNetwork(
-                self.world, address, data_centre, incarnation
+            network=_virtual_network.VirtualPeerNetwork(
+                self.simulator, address, data_centre, incarnation
             ),
             configuration_source=source,
             fleet_source=source,
@@ -169,22 +171,22 @@
             parameters=self.parameters(index),
             sleep=sleep,
         )
-        self.world.nodes[address] = node
+        self.simulator.nodes[address] = node
         self.entries[index] = node
         self.transports[index] = transport
         return node
 
-    def _make_transport(self, address, data_centre, gate):
+    def _make_transport(self, address, data_centre, wait_while_paused):
         place = (address, data_centre)
 
         def reachable(vm):
-            return not self.world.is_cut(place, (vm.address, vm.data_centre))
+            return not self.simulator.is_cut(place, (vm.address, vm.data_centre))
 
         return _virtual_transport.VirtualTransport(
             self.servers,
-            lambda vm: self.world.delay(data_centre, vm.data_centre),
+            lambda vm: self.simulator.delay(data_centre, vm.data_centre),
             reachable,
-            gate,
+            wait_while_paused,
         )
 
     def _know_warm(self):
@@ -197,14 +199,14 @@
     async def kill(self, index):
         """End an entry as a crash does."""
         node = self.entries.pop(index)
-        self.world.kill(node.board.identity.peer_address)
+        self.simulator.kill(node.board.identity.peer_address)
         await node.close()
 
     async def stop_gracefully(self, index):
         """Stop an entry as planned; return whether all its work was finished."""
         node = self.entries[index]
         finished = await node.stop()
-        self.world.nodes.pop(node.board.identity.peer_address, None)
+        self.simulator.nodes.pop(node.board.identity.peer_address, None)
         self.entries.pop(index, None)
         return finished
 
@@ -226,7 +228,7 @@
         node = self.entries.get(index)
         if node is None:
             raise ConnectionResetError("no such entry")
-        await self.world.gate(node.board.identity.peer_address)
+        await self.simulator.wait_while_paused(node.board.identity.peer_address)
         headers = [(b"content-type", b"text/plain")]
         if key:
             headers.append((messages.IDEMPOTENCY_KEY_HEADER, key.encode()))
@@ -241,7 +243,7 @@
             key=key,
         )
         address = node.board.identity.peer_address
-        task = self.world.start_incoming(address, _carried_whole(node, request))
+        task = self.simulator.start_incoming(address, _carried_whole(node, request))
         try:
             answer, content = await task
         except asyncio.CancelledError:
@@ -249,7 +251,7 @@
                 raise ConnectionResetError("the entry has died") from None
             task.cancel()
             raise
-        await self.world.gate(address)
+        await self.simulator.wait_while_paused(address)
         return answer, content
 
     async def close(self):
--- a/boragegw/standins/_virtual_network.py
+++ b/boragegw/standins/_virtual_network.py
@@ -7,7 +7,7 @@
 from boragegw import errors, messages, peers, sources
 
 
-class VirtualWorld:
+class NetworkSimulator:
     """What connects the processes of a virtual fleet.
 
     :param random_state: decides about lost datagrams.
@@ -18,40 +18,40 @@
         self.random_state = random_state
         self.loss = loss
         self.nodes = {}
-        self.cut_pairs = set()
+        self.cuts = set()
         self.paused = {}
         self.datagrams = 0
         self._incoming = {}
 
     def cut(self, first, second):
         """Cut all traffic between two data centres."""
-        self.cut_pairs.add(frozenset((first, second)))
+        self.cuts.add(frozenset((first, second)))
 
-    def cut_entry(self, address):
+    def isolate(self, address):
         """Cut one entry off from everything."""
-        self.cut_pairs.add(address)
+        self.cuts.add(address)
 
     def heal(self):
         """Undo all cuts."""
-        self.cut_pairs.clear()
+        self.cuts.clear()
 
     def is_cut(self, one, other):
         """Return whether traffic between (address, data centre) pairs is cut."""
-        if one[0] in self.cut_pairs or other[0] in self.cut_pairs:
+        if one[0] in self.cuts or other[0] in self.cuts:
             return True
-        return frozenset((one[1], other[1])) in self.cut_pairs
+        return frozenset((one[1], other[1])) in self.cuts
 
     def pause(self, address):
         """Pause a process: nothing reaches it until it wakes."""
         self.paused[address] = asyncio.Event()
 
-    def wake(self, address):
+    def resume(self, address):
         """Wake a paused process; everything held back arrives at once."""
         event = self.paused.pop(address, None)
         if event is not None:
             event.set()
 
-    async def gate(self, address):
+    async def wait_while_paused(self, address):
         """Return once the process at ``address`` is not paused."""
         while address in self.paused:
             await self.paused[address].wait()
@@ -67,7 +67,7 @@
     def kill(self, address):
         """End the process at ``address`` with all that it was doing."""
         self.nodes.pop(address, None)
-        self.wake(address)
+        self.resume(address)
         for task in list(self._incoming.get(address, ())):
             task.cancel()
 
@@ -76,15 +76,15 @@
         return 0.0001 if one == other else 0.001
 
 
-class VirtualNetwork(peers.PeerNetwork):
+class VirtualPeerNetwork(peers.PeerNetwork):
     """One process's way to its peers.
 
-    :param world: the :class:`VirtualWorld`.
+    :param simulator: the :class:`NetworkSimulator`.
     :param address: this process's peer address.
     """
 
-    def __init__(self, world, address, data_centre, incarnation):
-        self.world = world
+    def __init__(self, simulator, address, data_centre, incarnation):
+        self.simulator = simulator
         self.address = address
         self.data_centre = data_centre
         self.incarnation = incarnation
@@ -94,28 +94,28 @@
         return (self.address, self.data_centre)
 
     def _peer(self, address):
-        node = self.world.nodes.get(address)
+        node = self.simulator.nodes.get(address)
         if node is None:
             return None
         place = (address, node.board.identity.data_centre)
-        return None if self.world.is_cut(self._place, place) else node
+        return None if self.simulator.is_cut(self._place, place) else node
 
     def send(self, address, message):
         """Deliver a copy of ``message`` after the network's delay, or lose it."""
-        self.world.datagrams += 1
+        self.simulator.datagrams += 1
         node = self._peer(address)
-        if node is None or self.world.random_state.random() < self.world.loss:
+        if node is None or self.simulator.random_state.random() < self.simulator.loss:
             return
-        delay = self.world.delay(self.data_centre, node.board.identity.data_centre)
+        delay = self.simulator.delay(self.data_centre, node.board.identity.data_centre)
         loop = asyncio.get_running_loop()
         loop.call_later(delay, self._deliver, node, address, _copied(message))
 
     def _deliver(self, node, address, message):
-        if address in self.world.paused:
+        if address in self.simulator.paused:
             loop = asyncio.get_running_loop()
             loop.call_later(0.01, self._deliver, node, address, message)
             return
-        if self.world.nodes.get(address) is node:
+        if self.simulator.nodes.get(address) is node:
             node.take_message(self.incarnation, message)
 
     async def forward(self, address, incarnation, request):
@@ -125,18 +125,18 @@
             await asyncio.sleep(0.5)
             raise peers.PeerError(f"{address}: unreachable")
         await asyncio.sleep(self._delay_to(node))
-        await self.world.gate(address)
+        await self.simulator.wait_while_paused(address)
         content = request.body.content()
         forwarded = dataclasses.replace(request, body=messages.Body.from_bytes(content))
         answer = await self._carried(node, address, incarnation, forwarded)
-        await self.world.gate(self.address)
+        await self.simulator.wait_while_paused(self.address)
         if answer is None:
             raise peers.PeerError(f"{address}: not that process", sent=True)
         return answer
 
     async def _carried(self, node, address, incarnation, request):
         """Return the answer, unless the peer or the way to it goes away meanwhile."""
-        task = self.world.start_incoming(
+        task = self.simulator.start_incoming(
             address, node.carrier.carry_forwarded(incarnation, request)
         )
         while not task.done():
@@ -150,13 +150,13 @@
         return task.result()
 
     def _delay_to(self, node):
-        return self.world.delay(self.data_centre, node.board.identity.data_centre)
+        return self.simulator.delay(self.data_centre, node.board.identity.data_centre)
 
     async def fetch_configuration(self, address, known):
         """Return a peer's bundle."""
         node = self._peer(address)
         await asyncio.sleep(0.002)
-        if node is None or address in self.world.paused:
+        if node is None or address in self.simulator.paused:
             raise peers.PeerError(f"{address}: unreachable")
         return node.configuration.build_bundle(known)
 
@@ -164,7 +164,7 @@
         """Give a sealed table to a peer, through its encoded form."""
         node = self._peer(address)
         await asyncio.sleep(0.002)
-        if node is None or address in self.world.paused:
+        if node is None or address in self.simulator.paused:
             raise peers.PeerError(f"{address}: unreachable")
         node.take_sealed(peers.decode_sealed(peers.encode_sealed(sealed)))
 
@@ -180,16 +180,17 @@
     )
 
 
-class VirtualPlatform(sources.ConfigurationSource, sources.FleetSource):
+class VirtualPlatformSource(sources.ConfigurationSource, sources.FleetSource):
     """One process's way to the platform.
 
     :param state: the :class:`PublishedState`.
-    :param gate: async function that returns once the process is not paused.
+    :param wait_while_paused: coroutine function that returns once the process is
+        not paused.
     """
 
-    def __init__(self, state, gate, is_reachable=lambda: True):
+    def __init__(self, state, wait_while_paused, is_reachable=lambda: True):
         self.state = state
-        self.gate = gate
+        self.wait_while_paused = wait_while_paused
         self.is_reachable = is_reachable
 
     async def _visit(self):
@@ -215,7 +216,7 @@
         await self.state.wait_for(
             lambda: self.state.served_head()[0] > revision, timeout
         )
-        await self.gate()
+        await self.wait_while_paused()
         self._check()
         return self._raw(self.state.served_head()[1])
 
@@ -231,6 +232,6 @@
         """Return the raw list once it is newer, or at the timeout."""
         await self._visit()
         await self.state.wait_for(lambda: self.state.version > version, timeout)
-        await self.gate()
+        await self.wait_while_paused()
         self._check()
         return self._raw(self.state.raw_vms())
--- a/boragegw/standins/_virtual_transport.py
+++ b/boragegw/standins/_virtual_transport.py
@@ -18,14 +18,15 @@
     :param servers: :class:`VirtualBackend` by VM name.
     :param delay: function from a VM to the one-way seconds to it.
     :param reachable: function from a VM to whether the network lets it through.
-    :param gate: async function that returns once this entry is not paused.
+    :param wait_while_paused: coroutine function that returns once this entry is
+        not paused.
     """
 
-    def __init__(self, servers, delay, reachable, gate):
+    def __init__(self, servers, delay, reachable, wait_while_paused):
         self.servers = servers
         self.delay = delay
         self.reachable = reachable
-        self.gate = gate
+        self.wait_while_paused = wait_while_paused
         self.sends = 0
         self._connected = {}
         self._silenced = set()
@@ -96,7 +97,7 @@
         if faults.spend("late_response"):
             await asyncio.sleep(1.0)
         await asyncio.sleep(self.delay(server.vm))
-        await self.gate()
+        await self.wait_while_paused()
         if faults.spend("mismatched_response"):
             raise backends.AttemptError(
                 backends.Failure.MISMATCH,
@@ -164,7 +165,7 @@
                 errors.Verdict.NOT_RUN,
                 f"{vm.name}: unreachable",
             )
-        await self.gate()
+        await self.wait_while_paused()
         return server.report(server.loop_time())
 
 
