--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -114,7 +114,7 @@
         await self.fleet.start()
         for backend in self.fleet.servers.values():
             backend.faults.report_lag = self.report_lag
-            backend.faults.report_lie = self.report_lie
+            backend.faults.report_factor = self.report_lie
         return await self._measure()
 
     def _true_load(self, name):
@@ -139,8 +139,8 @@
             sum(s.probes for s in self.fleet.servers.values()) - probes,
             self.fleet.simulator.datagrams - datagrams,
             self.fleet.log,
-            max(s.worst_cold_ratio for s in self.fleet.servers.values()),
-            max(s.worst_late_cold_ratio for s in self.fleet.servers.values()),
+            max(s.max_cold_load_ratio for s in self.fleet.servers.values()),
+            max(s.max_late_cold_load_ratio for s in self.fleet.servers.values()),
             self.seconds,
             {"start": start, **self.marks},
             self.fleet.servers,
--- a/benchmarks/shapes.py
+++ b/benchmarks/shapes.py
@@ -41,10 +41,10 @@
 
 def shape_of(service, document, mean_service=MEAN_SERVICE):
     """Return the virtual fleet's shape of a user's service."""
-    return standins.ServiceShape(
+    return standins.ServiceSpec(
         service.name,
         service.backends,
         service.slots,
         {"deadline_ms": 10_000, "warm_up_ms": 2000, "queue_limit": 2000, **document},
-        mean_service=mean_service,
+        mean_service_seconds=mean_service,
     )
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -260,7 +260,7 @@
 
 
 async def _count_reads(count, seconds=20.0):
-    fleet = standins.VirtualFleet([standins.ServiceShape("s", 3, 2)], count, 1)
+    fleet = standins.VirtualFleet([standins.ServiceSpec("s", 3, 2)], count, 1)
     await fleet.start()
     await asyncio.sleep(5.0)
     before = fleet.state.reads
--- a/boragegw/cli/_demo.py
+++ b/boragegw/cli/_demo.py
@@ -142,7 +142,7 @@
     """Recall a data centre, return it, and report seconds and late runs."""
     fleet.state.publish_recalls([("data-centre", [RECALLED])])
     published = time.monotonic()
-    await fleet.wait_for(lambda: fleet.in_force(fleet.state.revision))
+    await fleet.wait_for(lambda: fleet.has_applied(fleet.state.revision))
     held_after = time.monotonic() - published
     await asyncio.sleep(max(0.0, min(GRACE, length / 2) - held_after))
     before = _runs_in(fleet, RECALLED)
--- a/boragegw/cli/_platform.py
+++ b/boragegw/cli/_platform.py
@@ -60,4 +60,4 @@
         if data["version"] > state.version:
             state.vms = {row["name"]: row for row in data["vms"]}
             state.version = data["version"] - 1
-            state.touch_vms()
+            state.bump_vms_version()
--- a/boragegw/controllers/tests/test_configuration.py
+++ b/boragegw/controllers/tests/test_configuration.py
@@ -4,7 +4,7 @@
 
 from boragegw import configuration, server, standins, utils
 
-SHAPE = standins.ServiceShape("claims", 6, 2)
+SHAPE = standins.ServiceSpec("claims", 6, 2)
 
 
 def run_fleet(scenario, entries=9, **parameters):
@@ -40,7 +40,7 @@
 def test_recall_is_in_force_everywhere_within_two_seconds():
     async def scenario(fleet):
         fleet.state.publish_recalls([("data-centre", ["dc-b"])])
-        return await seconds_until(lambda: fleet.in_force(2))
+        return await seconds_until(lambda: fleet.has_applied(2))
 
     assert run_fleet(scenario) < 2.0
 
@@ -56,7 +56,7 @@
         fleet.state.publish_recalls([("data-centre", ["dc-b"])])
         await seconds_until(lambda: 2 in revisions(fleet))
         fleet.state.outage = True
-        return await seconds_until(lambda: fleet.in_force(2))
+        return await seconds_until(lambda: fleet.has_applied(2))
 
     assert run_fleet(scenario) < 2.0
 
@@ -70,7 +70,7 @@
                 await fleet.kill(index)
         assert fleet.entries
         fleet.state.publish_recalls([("data-centre", ["dc-b"])])
-        return await seconds_until(lambda: fleet.in_force(2))
+        return await seconds_until(lambda: fleet.has_applied(2))
 
     assert run_fleet(scenario) < 6.0
 
@@ -84,9 +84,9 @@
     async def scenario(fleet):
         fleet.state.freeze()
         frozen = fleet.state._frozen
-        fleet.state.thaw()
+        fleet.state.unfreeze()
         fleet.state.publish_recalls([("data-centre", ["dc-b"])])
-        await seconds_until(lambda: fleet.in_force(2))
+        await seconds_until(lambda: fleet.has_applied(2))
         fleet.state._frozen = frozen
         await asyncio.sleep(10.0)
         assert revisions(fleet) == {2}
@@ -113,7 +113,7 @@
             configuration.ServiceDocument(name="claims", deadline_ms=7000)
         )
         fleet.state.publish({"service.claims": good})
-        await seconds_until(lambda: fleet.in_force(3))
+        await seconds_until(lambda: fleet.has_applied(3))
         return {
             node.board.services["claims"].settings.deadline
             for node in fleet.entries.values()
@@ -131,7 +131,7 @@
         await asyncio.sleep(3.0)
         assert revisions(fleet) == {1}
         fleet.state.publish_recalls([])
-        return await seconds_until(lambda: fleet.in_force(2))
+        return await seconds_until(lambda: fleet.has_applied(2))
 
     assert run_fleet(scenario) < 6.0
 
@@ -139,7 +139,7 @@
 def test_fresh_entry_starts_from_peers_while_the_platform_is_down():
     async def scenario(fleet):
         fleet.state.publish_recalls([("data-centre", ["dc-b"])])
-        await seconds_until(lambda: fleet.in_force(2))
+        await seconds_until(lambda: fleet.has_applied(2))
         await fleet.kill(0)
         fleet.state.outage = True
         fleet.parameters = lambda index: server.NodeParameters(
@@ -164,7 +164,7 @@
         old, new = fleet.entries[0], fleet.entries[1]
         known = old.configuration._known_configuration()
         fleet.state.publish_recalls([("data-centre", ["dc-b"])])
-        await seconds_until(lambda: fleet.in_force(2))
+        await seconds_until(lambda: fleet.has_applied(2))
         return new.configuration.build_bundle(known), new.configuration.build_bundle(
             old.configuration._known_configuration()
         )
--- a/boragegw/controllers/tests/test_warmers.py
+++ b/boragegw/controllers/tests/test_warmers.py
@@ -4,7 +4,7 @@
 
 from boragegw import blackboard, server, standins, utils
 
-SHAPE = standins.ServiceShape(
+SHAPE = standins.ServiceSpec(
     "claims", 6, 2, {"subset_size": 3, "warm_up_ms": 60_000}, cold_seconds=1e9
 )
 
--- a/boragegw/entry/tests/histories.py
+++ b/boragegw/entry/tests/histories.py
@@ -56,7 +56,7 @@
             "deadline_ms": 1500,
             "queue_limit": 2,
         }
-        shape = standins.ServiceShape("filing", 4, 2, document, cold_seconds=0.2)
+        shape = standins.ServiceSpec("filing", 4, 2, document, cold_seconds=0.2)
         self.fleet = standins.VirtualFleet(
             [shape],
             ENTRIES,
--- a/boragegw/entry/tests/test_caller_contract.py
+++ b/boragegw/entry/tests/test_caller_contract.py
@@ -226,10 +226,12 @@
         caller = fleet.caller("c")
         key = await caller.new_key("filing")
         answers = [
-            await caller.send("filing", "POST", "/returns/1", b"a", key, at=at)
+            await caller.send("filing", "POST", "/returns/1", b"a", key, entry_index=at)
             for at in (0, 1, 2)
         ]
-        changed = await caller.send("filing", "POST", "/returns/1", b"b", key, at=1)
+        changed = await caller.send(
+            "filing", "POST", "/returns/1", b"b", key, entry_index=1
+        )
         stolen = await caller.send(
             "filing",
             "POST",
@@ -265,7 +267,9 @@
             if process.caller_address == kept["entries"][0]
         )
         await home.kill()
-        resend = await caller.send("filing", "POST", "/returns/1", b"a", key, at=1)
+        resend = await caller.send(
+            "filing", "POST", "/returns/1", b"a", key, entry_index=1
+        )
         return resend, list(fleet.runs)
 
     resend, runs = with_fleet(tmp_path, scenario)
--- a/boragegw/entry/tests/test_faults.py
+++ b/boragegw/entry/tests/test_faults.py
@@ -17,7 +17,7 @@
 
 def run_fleet(scenario, backends=6, entries=6, document=None, **shape):
     async def run():
-        made = standins.ServiceShape(
+        made = standins.ServiceSpec(
             "filing", backends, 2, {**DOCUMENT, **(document or {})}, **shape
         )
         fleet = standins.VirtualFleet(
@@ -336,7 +336,7 @@
                 get(fleet, f"/{round_}-{i}", index, deadline=2.0) for i in range(4)
             )
             await asyncio.sleep(0.02)
-        worst = max(backend.worst_cold_ratio for backend in fleet.servers.values())
+        worst = max(backend.max_cold_load_ratio for backend in fleet.servers.values())
         return statuses, worst
 
     statuses, worst = run_fleet(scenario, cold_seconds=1.0)
--- a/boragegw/operations/tests/test_observation.py
+++ b/boragegw/operations/tests/test_observation.py
@@ -98,7 +98,7 @@
         key = await caller.new_key("filing")
         headers = {"traceparent": parent}
         answer = await caller.send(
-            "filing", "POST", "/x", b"1", key, headers=headers, at=1
+            "filing", "POST", "/x", b"1", key, headers=headers, entry_index=1
         )
         assert answer.status == 200
 
--- a/boragegw/sources/tests/test_sources_contract.py
+++ b/boragegw/sources/tests/test_sources_contract.py
@@ -31,7 +31,7 @@
     async def scenario(state, source, fleet):
         assert await source.read_head() == state.head
         assert await source.read_document("recalls") == b'{"recalls": []}'
-        assert await fleet.watch_vms(0, 1.0) == state.raw_vms()
+        assert await fleet.watch_vms(0, 1.0) == state.encode_vms()
 
     run(scenario)
 
--- a/boragegw/standins/__init__.py
+++ b/boragegw/standins/__init__.py
@@ -12,7 +12,7 @@
 )
 from boragegw.standins._platform import PublishedState, StandinPlatform
 from boragegw.standins._virtual_backend import RunEvent, VirtualBackend, VirtualFaults
-from boragegw.standins._virtual_fleet import ServiceShape, VirtualFleet
+from boragegw.standins._virtual_fleet import ServiceSpec, VirtualFleet
 from boragegw.standins._virtual_network import (
     NetworkSimulator,
     VirtualPeerNetwork,
@@ -43,7 +43,7 @@
     "NoisyBackend",
     "PublishedState",
     "RunEvent",
-    "ServiceShape",
+    "ServiceSpec",
     "Shares",
     "StandinBackend",
     "StandinPlatform",
--- a/boragegw/standins/_backend.py
+++ b/boragegw/standins/_backend.py
@@ -20,7 +20,7 @@
     :param fail_fast: answer 500 at once.
     :param crash_before: requests that end the connection before they run.
     :param crash_after: requests that run and then end the connection.
-    :param wrong_echo: answers that carry another attempt's id.
+    :param wrong_attempt_id: answers that carry another attempt's id.
     :param truncate: answers that break off in the middle.
     :param silent: requests that run and are never answered.
     :param poison: a request with this text in its path crashes the server.
@@ -33,7 +33,7 @@
     draining: bool = False
     crash_before: int = 0
     crash_after: int = 0
-    wrong_echo: int = 0
+    wrong_attempt_id: int = 0
     truncate: int = 0
     silent: int = 0
     poison: str = ""
@@ -66,7 +66,7 @@
         self.faults = BackendFaults()
         self.incarnation = secrets.token_hex(4)
         self.in_flight = 0
-        self.most_while_cold = 0
+        self.max_cold_in_flight = 0
         self.served = 0
         self.probes = 0
         self.downloads = {}
@@ -121,7 +121,7 @@
         if faults.poison and faults.poison in scope["path"]:
             self.restart()
             return
-        if faults.spend("crash_before"):
+        if faults.consume("crash_before"):
             exchange.abort()
             return
         if faults.fail_fast:
@@ -133,7 +133,7 @@
             return
         self.in_flight += 1
         if self.cold:
-            self.most_while_cold = max(self.most_while_cold, self.in_flight)
+            self.max_cold_in_flight = max(self.max_cold_in_flight, self.in_flight)
         try:
             async with self._slots:
                 await self._run(exchange, scope, headers, body)
@@ -146,10 +146,10 @@
         self.log.append((self.name, key, scope["path"]))
         await asyncio.sleep(faults.service_time * faults.slow_factor)
         self.served += 1
-        if faults.spend("crash_after"):
+        if faults.consume("crash_after"):
             exchange.abort()
             return
-        if faults.spend("silent"):
+        if faults.consume("silent"):
             await asyncio.sleep(3600)
         content = self.downloads.get(scope["path"])
         if content is not None:
@@ -190,7 +190,7 @@
 
     def _head(self, status, length, extra):
         echo = self.headers.get(b"boragegw-attempt", b"")
-        if self.backend.faults.spend("wrong_echo"):
+        if self.backend.faults.consume("wrong_attempt_id"):
             echo = b"another-attempt"
         headers = [
             (b"content-length", str(length).encode()),
@@ -203,7 +203,7 @@
     async def reply(self, status, content, extra=()):
         """Answer with ``content``, perhaps breaking off half-way."""
         await self.send(self._head(status, len(content), extra))
-        if content and self.backend.faults.spend("truncate"):
+        if content and self.backend.faults.consume("truncate"):
             await self._break_off(content[: len(content) // 2])
             return
         await self.send({"type": "http.response.body", "body": content})
@@ -227,7 +227,7 @@
             extra.append((b"content-range", span.encode()))
         part = content[start:]
         await self.send(self._head(status, len(part), extra))
-        if self.backend.faults.spend("truncate"):
+        if self.backend.faults.consume("truncate"):
             await self._break_off(part[: len(part) // 2])
             return
         await self._send_slowly(part)
--- a/boragegw/standins/_caller.py
+++ b/boragegw/standins/_caller.py
@@ -66,14 +66,16 @@
         kept = await self.entries(service)
         return f"{kept['lease']}.{self.name}-{next(self._numbers)}"
 
-    async def send(self, service, method, path, content=b"", key="", headers=(), at=0):
-        """Send one request to the entry of the preference ``at`` and return it all.
+    async def send(
+        self, service, method, path, content=b"", key="", headers=(), entry_index=0
+    ):
+        """Send one request and return the whole response.
 
         :raises httpx.HTTPError: if there is no whole answer.
         """
         kept = await self.entries(service)
         addresses = kept["entries"]
-        address = addresses[at % len(addresses)]
+        address = addresses[entry_index % len(addresses)]
         sent = dict(headers)
         if key:
             sent["idempotency-key"] = key
@@ -96,7 +98,7 @@
         answer = None
         for attempt in range(attempts):
             try:
-                answer = await self.send(service, "GET", path, at=attempt)
+                answer = await self.send(service, "GET", path, entry_index=attempt)
             except httpx.HTTPError:
                 await self._refreshed(service)
                 continue
@@ -113,7 +115,7 @@
         for attempt in range(attempts):
             try:
                 answer = await self.send(
-                    service, "POST", path, content, key, at=attempt
+                    service, "POST", path, content, key, entry_index=attempt
                 )
             except httpx.HTTPError:
                 continue
--- a/boragegw/standins/_faults.py
+++ b/boragegw/standins/_faults.py
@@ -6,7 +6,7 @@
 
     __slots__ = ()
 
-    def spend(self, name):
+    def consume(self, name):
         """Return whether a counted fault strikes now, and count it down."""
         left = getattr(self, name)
         if left <= 0:
--- a/boragegw/standins/_fleet.py
+++ b/boragegw/standins/_fleet.py
@@ -125,7 +125,7 @@
         finished = await old.stop()
         process = self._make_entry(name, index)
         self.state.vms[name] = self._entry_row(name)
-        self.state.touch_vms()
+        self.state.bump_vms_version()
         await process.start()
         return finished
 
@@ -154,7 +154,7 @@
         self._callers.append(caller)
         return caller
 
-    def in_force(self, revision):
+    def has_applied(self, revision):
         """Return whether all entries have ``revision`` in force."""
         return all(
             process.node.board.configuration.revision >= revision
--- a/boragegw/standins/_platform.py
+++ b/boragegw/standins/_platform.py
@@ -56,14 +56,14 @@
     def set_vms(self, rows):
         """Set the list of VMs from dictionaries."""
         self.vms = {row["name"]: row for row in rows}
-        self.touch_vms()
+        self.bump_vms_version()
 
-    def touch_vms(self):
+    def bump_vms_version(self):
         """Count the version of the list up after a change to ``vms``."""
         self.version += 1
         self._wake()
 
-    def raw_vms(self):
+    def encode_vms(self):
         """Return the list as published."""
         rows = list(self.vms.values())
         return json.dumps({"version": self.version, "vms": rows}).encode()
@@ -72,7 +72,7 @@
         """Serve the present state from now on, as a replica that has fallen behind."""
         self._frozen = (self.revision, self.head, dict(self.documents))
 
-    def thaw(self):
+    def unfreeze(self):
         """Serve the latest state again."""
         self._frozen = None
         self._wake()
@@ -155,7 +155,7 @@
             await self._count()
             if not state.outage:
                 await state.wait_for(lambda: state.version > after, timeout)
-            return self._reply(state.raw_vms())
+            return self._reply(state.encode_vms())
 
         return litestar.Litestar(
             [head, watch, document, vms], openapi_config=None, logging_config=None
--- a/boragegw/standins/_virtual_backend.py
+++ b/boragegw/standins/_virtual_backend.py
@@ -7,7 +7,8 @@
 from boragegw import blackboard
 from boragegw.standins import _faults
 
-COLD_NOTICE = 0.1
+#: Requests that arrive later than this after a server turns cold count as late.
+COLD_NOTICE_SECONDS = 0.1
 
 
 @dataclasses.dataclass(slots=True)
@@ -42,7 +43,7 @@
     truncate_response: int = 0
     poison: str = ""
     report_lag: float = 0.0
-    report_lie: float = 0.0
+    report_factor: float = 0.0
 
 
 class VirtualBackend:
@@ -53,9 +54,10 @@
     :param cold_seconds: time from its start until it is warm.
     :param queue: requests that may wait behind the slots; more are refused.
 
-    ``worst_cold_ratio`` is the most work in flight while cold over what is borne, with
-    what was there before the turn; ``worst_late_cold_ratio`` counts only what arrived
-    later than ``COLD_NOTICE`` seconds after the turn.
+    ``max_cold_load_ratio`` is the highest ratio of requests in flight to
+    ``cold_capacity`` while the server is cold. It includes requests that were in flight
+    when the server turned cold. ``max_late_cold_load_ratio`` counts only requests that
+    arrived more than ``COLD_NOTICE_SECONDS`` after the server turned cold.
     """
 
     def __init__(
@@ -78,8 +80,8 @@
         self.faults = VirtualFaults()
         self.generation = 1
         self.in_flight = 0
-        self.worst_cold_ratio = 0.0
-        self.worst_late_cold_ratio = 0.0
+        self.max_cold_load_ratio = 0.0
+        self.max_late_cold_load_ratio = 0.0
         self._late_in_flight = 0
         self.received = 0
         self.probes = 0
@@ -100,7 +102,7 @@
         """Whether it is still cold."""
         return self.loop_time() - self._started_at < self.cold_seconds
 
-    def warm_up_at_once(self):
+    def skip_warm_up(self):
         """Be warm from the start of a benchmark."""
         self._started_at = float("-inf")
 
@@ -126,8 +128,8 @@
         in_flight = self.in_flight
         if self.faults.report_lag:
             in_flight = self._lagged(now - self.faults.report_lag)
-        if self.faults.report_lie:
-            in_flight = int(in_flight * self.faults.report_lie)
+        if self.faults.report_factor:
+            in_flight = int(in_flight * self.faults.report_factor)
         return blackboard.LoadReport(
             in_flight, self.cold, self.faults.draining, f"g{self.generation}", now
         )
@@ -145,12 +147,12 @@
         if late:
             self._late_in_flight += change
             ratio = self._late_in_flight / self.cold_capacity
-            self.worst_late_cold_ratio = max(self.worst_late_cold_ratio, ratio)
+            self.max_late_cold_load_ratio = max(self.max_late_cold_load_ratio, ratio)
         if self.faults.report_lag:
             self._history.append((self.loop_time(), self.in_flight))
         if self.cold and change > 0:
             ratio = self.in_flight / self.cold_capacity
-            self.worst_cold_ratio = max(self.worst_cold_ratio, ratio)
+            self.max_cold_load_ratio = max(self.max_cold_load_ratio, ratio)
 
     @property
     def refuses(self):
@@ -164,7 +166,7 @@
         :raises ConnectionResetError: if the server crashes meanwhile.
         """
         generation = self.generation
-        late = self.cold and self.loop_time() - self._started_at > COLD_NOTICE
+        late = self.cold and self.loop_time() - self._started_at > COLD_NOTICE_SECONDS
         self._count(1, late)
         try:
             await self._take_slot()
--- a/boragegw/standins/_virtual_fleet.py
+++ b/boragegw/standins/_virtual_fleet.py
@@ -18,18 +18,18 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ServiceShape:
+class ServiceSpec:
     """One service of a virtual fleet.
 
     :param document: members of its service document besides the name.
-    :param mean_service: mean seconds of a request (exponential).
+    :param mean_service_seconds: mean seconds of a request (exponential).
     """
 
     name: str
     backends: int
     slots: int
     document: dict = dataclasses.field(default_factory=dict)
-    mean_service: float = 0.010
+    mean_service_seconds: float = 0.010
     cold_seconds: float = 2.0
     cold_capacity: int = 1
     queue: int = 1000
@@ -38,14 +38,14 @@
 class VirtualFleet:
     """Nodes, backend servers and platform in one virtual-time loop.
 
-    :param shapes: :class:`ServiceShape` list.
+    :param specs: :class:`ServiceSpec` list.
     :param entries: number of entry processes.
     :param seed: of everything random.
     :param parameters: function from an index to a node's ``NodeParameters``.
     """
 
-    def __init__(self, shapes, entries=6, seed=0, parameters=None, loss=0.0):
-        self.shapes = shapes
+    def __init__(self, specs, entries=6, seed=0, parameters=None, loss=0.0):
+        self.specs = specs
         self.entry_count = entries
         self.seed = seed
         self.parameters = parameters or (lambda index: server.NodeParameters())
@@ -76,23 +76,23 @@
 
     def _publish(self):
         documents = {"recalls": configuration.encode_document({"recalls": []})}
-        for shape in self.shapes:
-            model = configuration.ServiceDocument(name=shape.name, **shape.document)
-            documents[f"service.{shape.name}"] = configuration.encode_document(model)
+        for spec in self.specs:
+            model = configuration.ServiceDocument(name=spec.name, **spec.document)
+            documents[f"service.{spec.name}"] = configuration.encode_document(model)
         self.state.publish(documents)
 
     def _backend_rows(self):
         rows = []
-        for shape in self.shapes:
-            for index in range(shape.backends):
+        for spec in self.specs:
+            for index in range(spec.backends):
                 rows.append(
                     {
-                        "name": f"{shape.name}-{index + 1}",
+                        "name": f"{spec.name}-{index + 1}",
                         "role": "backend",
                         "address": f"10.1.0.{index % 250 + 1}:80",
                         "data_centre": DATA_CENTRES[index % len(DATA_CENTRES)],
-                        "service": shape.name,
-                        "slots": shape.slots,
+                        "service": spec.name,
+                        "slots": spec.slots,
                         "release": f"release-{1 + index % 2}",
                     }
                 )
@@ -113,26 +113,26 @@
         return f"10.0.0.{index + 1}:90"
 
     def _make_servers(self, warm):
-        _, vms = configuration.parse_vm_list(self.state.raw_vms())
+        _, vms = configuration.parse_vm_list(self.state.encode_vms())
         loop = asyncio.get_running_loop()
-        for shape in self.shapes:
+        for spec in self.specs:
             for vm in vms.values():
-                if vm.service != shape.name:
+                if vm.service != spec.name:
                     continue
                 draw = random.Random(f"{self.seed}/{vm.name}")
                 self.servers[vm.name] = _virtual_backend.VirtualBackend(
                     vm,
                     loop.time,
-                    lambda draw=draw, mean=shape.mean_service: draw.expovariate(
+                    lambda draw=draw, mean=spec.mean_service_seconds: draw.expovariate(
                         1 / mean
                     ),
-                    shape.cold_capacity,
-                    shape.cold_seconds,
-                    shape.queue,
+                    spec.cold_capacity,
+                    spec.cold_seconds,
+                    spec.queue,
                     self.log,
                 )
                 if warm:
-                    self.servers[vm.name].warm_up_at_once()
+                    self.servers[vm.name].skip_warm_up()
 
     def make_entry(self, index):
         """Return a new process incarnation for the entry ``index``."""
@@ -210,7 +210,7 @@
         self.entries.pop(index, None)
         return finished
 
-    def in_force(self, revision):
+    def has_applied(self, revision):
         """Return whether all entries have ``revision`` in force."""
         return all(
             node.board.configuration.revision >= revision
--- a/boragegw/standins/_virtual_network.py
+++ b/boragegw/standins/_virtual_network.py
@@ -234,4 +234,4 @@
         await self.state.wait_for(lambda: self.state.version > version, timeout)
         await self.wait_while_paused()
         self._check()
-        return self._raw(self.state.raw_vms())
+        return self._raw(self.state.encode_vms())
--- a/boragegw/standins/_virtual_transport.py
+++ b/boragegw/standins/_virtual_transport.py
@@ -92,13 +92,13 @@
 
     async def _travel_back(self, server, attempt):
         faults = server.faults
-        if faults.spend("lose_response") or not self.reachable(server.vm):
+        if faults.consume("lose_response") or not self.reachable(server.vm):
             await asyncio.sleep(3600)
-        if faults.spend("late_response"):
+        if faults.consume("late_response"):
             await asyncio.sleep(1.0)
         await asyncio.sleep(self.delay(server.vm))
         await self.wait_while_paused()
-        if faults.spend("mismatched_response"):
+        if faults.consume("mismatched_response"):
             raise backends.AttemptError(
                 backends.Failure.MISMATCH,
                 errors.Verdict.MAY_HAVE_RUN,
@@ -119,7 +119,7 @@
         if faults.poison and faults.poison in attempt.target:
             server.restart()
             raise self._broken(server)
-        if faults.spend("crash_before"):
+        if faults.consume("crash_before"):
             server.restart()
             raise self._broken(server)
         if faults.fail_fast:
@@ -141,14 +141,14 @@
             await server.run(key, attempt.target, attempt.attempt_id)
         except ConnectionResetError as error:
             raise self._broken(server) from error
-        if server.faults.spend("crash_after"):
+        if server.faults.consume("crash_after"):
             server.restart()
             raise self._broken(server)
         content = f"{attempt.method} {attempt.target} {key}".encode()
         return self._answer(server, attempt, 200, content)
 
     def _answer(self, server, attempt, status, content):
-        truncated = server.faults.spend("truncate_response")
+        truncated = server.faults.consume("truncate_response")
         headers = [(b"content-length", str(len(content)).encode())]
         body = _parts(content, truncated)
         report = server.report(server.loop_time())
