--- a/boragegw/standins/__init__.py
+++ b/boragegw/standins/__init__.py
@@ -1,4 +1,14 @@
-"""Small platform and backend servers with switchable faults, for tests and the demo."""
+"""Test doubles of platform, backend servers and callers, with fault injection.
+
+Tests, benchmarks and the demo use them at three levels:
+
+- over loopback sockets: :class:`LocalFleet`, :class:`StandinBackend`,
+  :class:`StandinPlatform` and :class:`Caller`;
+- in virtual time, below the interfaces of a node: :class:`VirtualFleet`,
+  :class:`VirtualBackend` and the other ``Virtual`` classes;
+- over an in-memory network in virtual time: :class:`MemoryLoop`, :class:`WireWorld`
+  and the other ``Wire`` classes.
+"""
 
 from boragegw.standins._backend import BackendFaults, StandinBackend
 from boragegw.standins._caller import Caller, CallerResponse
--- a/boragegw/standins/_backend.py
+++ b/boragegw/standins/_backend.py
@@ -1,4 +1,4 @@
-"""A stand-in backend server: slots, cold start, shedding, drains, and faults."""
+"""A fake backend server over HTTP, with a cold start, load shedding and faults."""
 
 import asyncio
 import dataclasses
@@ -12,18 +12,21 @@
 
 @dataclasses.dataclass(slots=True)
 class BackendFaults(_faults.CountedFaults):
-    """Faults that tests and benchmarks switch on.
-
-    :param service_time: seconds that a request takes in a slot.
-    :param slow_factor: factor on the service time now (a noisy neighbour).
-    :param refuse: refuse everything as not run.
-    :param fail_fast: answer 500 at once.
-    :param crash_before: requests that end the connection before they run.
-    :param crash_after: requests that run and then end the connection.
-    :param wrong_attempt_id: answers that carry another attempt's id.
-    :param truncate: answers that break off in the middle.
-    :param silent: requests that run and are never answered.
-    :param poison: a request with this text in its path crashes the server.
+    """Faults that tests and benchmarks inject.
+
+    Integer fields count the requests or responses that are still to be affected.
+
+    :param service_time: seconds that a request occupies a slot.
+    :param slow_factor: current factor on the service time, as of a noisy neighbour.
+    :param refuse: reject every request as not run.
+    :param fail_fast: respond with status 500 at once.
+    :param draining: report draining and reject every request as not run.
+    :param crash_before: requests whose connection is aborted before they run.
+    :param crash_after: requests whose connection is aborted after they ran.
+    :param wrong_attempt_id: responses that carry the id of another attempt.
+    :param truncate: responses whose body ends half-way.
+    :param silent: requests that run and get no response.
+    :param poison: text in the path of requests that crash the server; "" for none.
     """
 
     service_time: float = 0.005
@@ -42,11 +45,12 @@
 class StandinBackend:
     """A backend server over HTTP.
 
-    :param name: its VM's name.
-    :param slots: requests run at once; as many again may wait.
-    :param cold_slots: requests borne at once while cold.
-    :param warm_up_requests: answers after which it is warm.
-    :param log: list that receives (name, key, path) of each run.
+    :param name: name of its VM.
+    :param slots: requests that run concurrently; as many again may be queued.
+    :param cold_slots: concurrent requests that a cold server can handle.
+    :param warm_up_requests: requests served until the server is warm.
+    :param log: list to which (name, key, path) of each run is appended.
+    :param address: ``host:port`` to listen on.
     """
 
     def __init__(
@@ -78,11 +82,11 @@
 
     @property
     def cold(self):
-        """Whether the server is still cold."""
+        """Whether the server has not warmed up yet."""
         return self.served < self.warm_up_requests
 
     def restart(self):
-        """Become cold again under a new incarnation, connections cut."""
+        """Abort all connections and become cold, with a new incarnation."""
         self.incarnation = secrets.token_hex(4)
         self.served = 0
         for connection in list(self._listener.server_state.connections):
@@ -94,7 +98,7 @@
         self._task = loop.create_task(self._listener.run_until_told())
 
     async def stop(self):
-        """Stop at once."""
+        """Stop without draining."""
         self._listener.abort()
         await self._task
 
@@ -161,7 +165,7 @@
 
 
 class _Exchange:
-    """One request and its answer at a stand-in backend server."""
+    """One request and its response at a fake backend server."""
 
     def __init__(self, backend, scope, headers, receive, send):
         self.backend = backend
@@ -171,7 +175,7 @@
         self.send = send
 
     async def read_body(self):
-        """Return the whole body, or ``None`` if the sender went away."""
+        """Return the whole body, or ``None`` if the client disconnected."""
         content = bytearray()
         more = True
         while more:
@@ -183,12 +187,12 @@
         return bytes(content)
 
     def abort(self):
-        """Cut this exchange's connection without an answer."""
-        owner = getattr(self.send, "__self__", None)
-        if owner is not None:
-            owner.transport.abort()
+        """Abort the connection of this exchange without a response."""
+        cycle = getattr(self.send, "__self__", None)
+        if cycle is not None:
+            cycle.transport.abort()
 
-    def _head(self, status, length, extra):
+    def _response_start(self, status, length, extra):
         echo = self.headers.get(b"boragegw-attempt", b"")
         if self.backend.faults.consume("wrong_attempt_id"):
             echo = b"another-attempt"
@@ -201,42 +205,42 @@
         return {"type": "http.response.start", "status": status, "headers": headers}
 
     async def reply(self, status, content, extra=()):
-        """Answer with ``content``, perhaps breaking off half-way."""
-        await self.send(self._head(status, len(content), extra))
+        """Respond with ``content``, or half of it if ``truncate`` applies."""
+        await self.send(self._response_start(status, len(content), extra))
         if content and self.backend.faults.consume("truncate"):
-            await self._break_off(content[: len(content) // 2])
+            await self._send_truncated(content[: len(content) // 2])
             return
         await self.send({"type": "http.response.body", "body": content})
 
-    async def _break_off(self, part):
+    async def _send_truncated(self, part):
         chunk = {"type": "http.response.body", "body": part, "more_body": True}
         await self.send(chunk)
         await asyncio.sleep(0)
         self.abort()
 
     async def send_download(self, content):
-        """Answer a download, whole or from a byte on, in small parts."""
+        """Respond to a download request, which may ask for a range, in small chunks."""
         etag = b'"' + hashlib.sha256(content).hexdigest()[:16].encode() + b'"'
         extra = [(b"etag", etag), (b"accept-ranges", b"bytes")]
         status, start = 200, 0
-        wanted = self.headers.get(b"range", b"")
-        if wanted and self.headers.get(b"if-range", etag) == etag:
-            start = int(wanted.removeprefix(b"bytes=").partition(b"-")[0])
+        requested_range = self.headers.get(b"range", b"")
+        if requested_range and self.headers.get(b"if-range", etag) == etag:
+            start = int(requested_range.removeprefix(b"bytes=").partition(b"-")[0])
             status = 206
-            span = f"bytes {start}-{len(content) - 1}/{len(content)}"
-            extra.append((b"content-range", span.encode()))
+            content_range = f"bytes {start}-{len(content) - 1}/{len(content)}"
+            extra.append((b"content-range", content_range.encode()))
         part = content[start:]
-        await self.send(self._head(status, len(part), extra))
+        await self.send(self._response_start(status, len(part), extra))
         if self.backend.faults.consume("truncate"):
-            await self._break_off(part[: len(part) // 2])
+            await self._send_truncated(part[: len(part) // 2])
             return
-        await self._send_slowly(part)
+        await self._send_in_chunks(part)
 
-    async def _send_slowly(self, part):
-        step = 16_384
-        for offset in range(0, len(part), step):
-            more = offset + step < len(part)
-            chunk = part[offset : offset + step]
+    async def _send_in_chunks(self, part):
+        chunk_size = 16_384
+        for offset in range(0, len(part), chunk_size):
+            more = offset + chunk_size < len(part)
+            chunk = part[offset : offset + chunk_size]
             await self.send(
                 {"type": "http.response.body", "body": chunk, "more_body": more}
             )
--- a/boragegw/standins/_caller.py
+++ b/boragegw/standins/_caller.py
@@ -1,4 +1,4 @@
-"""A caller as the users write theirs: asks for entries, makes keys, sends again."""
+"""A reference client: discovers entries, creates idempotency keys and retries."""
 
 import dataclasses
 import itertools
@@ -9,9 +9,11 @@
 
 @dataclasses.dataclass(slots=True)
 class CallerResponse:
-    """What a caller got.
+    """A response that a caller received.
 
-    :param verdict: text of the verdict header, "" if there was no answer.
+    :param verdict: value of the ``boragegw-verdict`` header, "" if it is missing.
+    :param request_id: value of ``boragegw-request-id``, "" if it is missing.
+    :param code: value of ``boragegw-code``, the error code, "" if it is missing.
     """
 
     status: int
@@ -22,33 +24,38 @@
 
 
 class Caller:
-    """One caller.
+    """A client of the entries.
 
-    :param name: tells callers apart.
-    :param addresses: addresses of entries to ask first.
+    :param name: value of ``boragegw-caller`` and part of each idempotency key.
+    :param addresses: bootstrap addresses, ``host:port`` of entries.
+    :param timeout: timeout of the HTTP client in seconds.
     """
 
     def __init__(self, name, addresses, timeout=30.0):
         self.name = name
         self.addresses = list(addresses)
         self._client = httpx.AsyncClient(trust_env=False, timeout=timeout)
-        self._kept = {}
-        self._numbers = itertools.count(1)
+        self._cache = {}
+        self._key_numbers = itertools.count(1)
 
     async def entries(self, service, refresh=False):
-        """Return the answer to ``/v1/entries``, kept for as long as it says."""
-        kept_at, kept = self._kept.get(service, (0.0, None))
+        """Return the response of ``/v1/entries``, cached for its ``keep_for_ms``.
+
+        :param refresh: ignore the cache.
+        :raises httpx.HTTPError: if no entry gives a response.
+        """
+        cached_at, cached = self._cache.get(service, (0.0, None))
         now = time.monotonic()
-        if refresh or kept is None or now - kept_at > kept["keep_for_ms"] / 1000:
-            kept = await self._ask(service)
-            self._kept[service] = (now, kept)
-        return kept
-
-    async def _ask(self, service):
-        failure = httpx.TransportError("no entry is known")
-        _, kept = self._kept.get(service, (0.0, None))
-        known = [] if kept is None else kept["entries"]
-        for address in (*known, *self.addresses):
+        if refresh or cached is None or now - cached_at > cached["keep_for_ms"] / 1000:
+            cached = await self._fetch_entries(service)
+            self._cache[service] = (now, cached)
+        return cached
+
+    async def _fetch_entries(self, service):
+        last_error = httpx.TransportError("no entry address to query")
+        _, cached = self._cache.get(service, (0.0, None))
+        known_addresses = [] if cached is None else cached["entries"]
+        for address in (*known_addresses, *self.addresses):
             try:
                 response = await self._client.get(
                     f"http://{address}/v1/entries",
@@ -58,32 +65,35 @@
                 response.raise_for_status()
                 return response.json()
             except httpx.HTTPError as error:
-                failure = error
-        raise failure
+                last_error = error
+        raise last_error
 
     async def new_key(self, service):
-        """Return a new idempotency key."""
-        kept = await self.entries(service)
-        return f"{kept['lease']}.{self.name}-{next(self._numbers)}"
+        """Return a new idempotency key, which begins with the lease of the caller."""
+        cached = await self.entries(service)
+        return f"{cached['lease']}.{self.name}-{next(self._key_numbers)}"
 
     async def send(
         self, service, method, path, content=b"", key="", headers=(), entry_index=0
     ):
-        """Send one request and return the whole response.
+        """Send one request and return the complete response.
 
-        :raises httpx.HTTPError: if there is no whole answer.
+        :param entry_index: position in the list of entries in order of preference,
+            modulo its length.
+
+        :raises httpx.HTTPError: if there is no complete response.
         """
-        kept = await self.entries(service)
-        addresses = kept["entries"]
+        cached = await self.entries(service)
+        addresses = cached["entries"]
         address = addresses[entry_index % len(addresses)]
-        sent = dict(headers)
+        sent_headers = dict(headers)
         if key:
-            sent["idempotency-key"] = key
+            sent_headers["idempotency-key"] = key
         response = await self._client.request(
             method,
             f"http://{address}/v1/services/{service}{path}",
             content=content,
-            headers=sent,
+            headers=sent_headers,
         )
         return CallerResponse(
             response.status_code,
@@ -94,43 +104,49 @@
         )
 
     async def get(self, service, path, attempts=3):
-        """Send an idempotent request, to the next entry after a failure."""
-        answer = None
+        """Send an idempotent request; a retry goes to the next entry.
+
+        :raises httpx.TransportError: if no attempt got a response.
+        """
+        response = None
         for attempt in range(attempts):
             try:
-                answer = await self.send(service, "GET", path, entry_index=attempt)
+                response = await self.send(service, "GET", path, entry_index=attempt)
             except httpx.HTTPError:
-                await self._refreshed(service)
+                await self._refresh_entries(service)
                 continue
-            if answer.status < 500:
-                return answer
-        if answer is None:
-            raise httpx.TransportError("no answer")
-        return answer
+            if response.status < 500:
+                return response
+        if response is None:
+            raise httpx.TransportError("no attempt got a response")
+        return response
 
     async def post(self, service, path, content, attempts=3):
-        """Send a non-idempotent request; the same key on each resend."""
+        """Send a non-idempotent request; each retry carries the same key.
+
+        :returns: the key and the last :class:`CallerResponse`, or ``None``.
+        """
         key = await self.new_key(service)
-        answer = None
+        response = None
         for attempt in range(attempts):
             try:
-                answer = await self.send(
+                response = await self.send(
                     service, "POST", path, content, key, entry_index=attempt
                 )
             except httpx.HTTPError:
                 continue
-            if answer.status < 500 or answer.verdict == "not-run":
+            if response.status < 500 or response.verdict == "not-run":
                 break
-        if answer is None or answer.verdict == "not-run":
-            await self._refreshed(service)
-        return key, answer
+        if response is None or response.verdict == "not-run":
+            await self._refresh_entries(service)
+        return key, response
 
-    async def _refreshed(self, service):
+    async def _refresh_entries(self, service):
         try:
             await self.entries(service, refresh=True)
         except httpx.HTTPError:
             return
 
     async def aclose(self):
-        """Close the connections."""
+        """Close all connections."""
         await self._client.aclose()
--- a/boragegw/standins/_faults.py
+++ b/boragegw/standins/_faults.py
@@ -1,15 +1,15 @@
-"""Faults that strike a counted number of times."""
+"""Injected faults that apply to a limited number of requests."""
 
 
 class CountedFaults:
-    """Base of the stand-ins' faults."""
+    """Base of the dataclasses of injected faults."""
 
     __slots__ = ()
 
     def consume(self, name):
-        """Return whether a counted fault strikes now, and count it down."""
-        left = getattr(self, name)
-        if left <= 0:
+        """Return whether the fault ``name`` applies now, and decrement its counter."""
+        remaining = getattr(self, name)
+        if remaining <= 0:
             return False
-        setattr(self, name, left - 1)
+        setattr(self, name, remaining - 1)
         return True
--- a/boragegw/standins/_fleet.py
+++ b/boragegw/standins/_fleet.py
@@ -1,4 +1,4 @@
-"""A whole small fleet on loopback, in one process."""
+"""A complete small fleet on loopback sockets, in one process."""
 
 import asyncio
 import pathlib
@@ -11,13 +11,14 @@
 
 
 class LocalFleet:
-    """Platform, backend servers and entry processes for demo and tests.
+    """Platform, backend servers and entry processes for the demo and tests.
 
-    :param folder: where the peers' key file is written.
-    :param services: dictionaries: a service document's members and ``backends``, the
-        number of backend servers in each data centre.
+    :param folder: folder in which the key file of the peers is written.
+    :param services: list of dictionaries with the members of a service document and
+        ``backends``, the number of backend servers in each data centre.
     :param entries: number of entry processes.
-    :param parameters: function that returns the entries' ``NodeParameters``.
+    :param parameters: function that returns the ``NodeParameters`` of an entry.
+    :param slots: slots of each backend server.
     """
 
     def __init__(self, folder, services, entries=3, parameters=None, slots=2):
@@ -34,7 +35,7 @@
         self._callers = []
 
     async def start(self):
-        """Start everything and wait until all entries serve and see each other."""
+        """Start everything and wait until all entries are ready and see all peers."""
         self._write_key()
         await self.platform.start()
         await self._start_backends()
@@ -45,7 +46,7 @@
         rows += [self._entry_row(name) for name in self.entries]
         self.state.set_vms(rows)
         await asyncio.gather(*(entry.start() for entry in self.entries.values()))
-        await self.wait_for(self._all_in_sight)
+        await self.wait_for(self._all_ready)
 
     def _write_key(self):
         (self.folder / "peer.key").write_bytes(PEER_KEY)
@@ -116,9 +117,11 @@
         return self.entries[name]
 
     async def replace_entry(self, name):
-        """Stop an entry gracefully and start a fresh one; return whether it finished.
+        """Stop an entry gracefully and start a new one under the same name.
 
-        The platform lists the newcomer only after it has started.
+        The platform already lists the new entry while it starts.
+
+        :returns: whether the old entry finished all its work.
         """
         index = list(self.entries).index(name)
         old = self.entries[name]
@@ -129,7 +132,7 @@
         await process.start()
         return finished
 
-    def _all_in_sight(self):
+    def _all_ready(self):
         expected = len(self.entries) - 1
         for process in self.entries.values():
             node = process.node
@@ -139,30 +142,30 @@
         return True
 
     async def wait_for(self, condition, timeout=20.0):
-        """Wait until ``condition`` returns true.
+        """Poll ``condition`` until it returns true.
 
         :raises TimeoutError: after ``timeout`` seconds.
         """
         async with asyncio.timeout(timeout):
-            while not condition():  # noqa: ASYNC110 - states of many processes
+            while not condition():  # noqa: ASYNC110 - polls the state of many processes
                 await asyncio.sleep(0.02)
 
     def caller(self, name):
-        """Return a new caller that knows all entries."""
+        """Return a new :class:`Caller` with the addresses of all entries."""
         addresses = [process.caller_address for process in self.entries.values()]
         caller = _caller.Caller(name, addresses)
         self._callers.append(caller)
         return caller
 
     def has_applied(self, revision):
-        """Return whether all entries have ``revision`` in force."""
+        """Return whether all entries have applied ``revision`` or a later one."""
         return all(
             process.node.board.configuration.revision >= revision
             for process in self.entries.values()
         )
 
     async def stop(self):
-        """Stop everything at once."""
+        """Stop everything without draining."""
         for caller in self._callers:
             await caller.aclose()
         for process in self.entries.values():
--- a/boragegw/standins/_history.py
+++ b/boragegw/standins/_history.py
@@ -1,4 +1,4 @@
-"""Checks a recorded history: what was sent, what ran, what was answered."""
+"""Checks a recorded history of runs and responses for broken guarantees."""
 
 import collections
 import dataclasses
@@ -6,9 +6,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResponseEvent:
-    """An answer that a caller received.
+    """A response that a caller received.
 
-    :param expected: the body of the caller's own whole answer.
+    :param at: loop time in seconds.
+    :param expected: body of the correct response.
     """
 
     at: float
@@ -20,47 +21,47 @@
     code: str = ""
 
 
-def find_violations(runs, answers):
-    """Return a line for each broken promise in a history.
+def find_violations(runs, responses):
+    """Return a line of text for each violated guarantee in a history.
 
-    :param runs: :class:`RunEvent` list, as the backend servers recorded it.
-    :param answers: :class:`ResponseEvent` list, as the callers recorded it.
+    :param runs: :class:`RunEvent` list that the backend servers recorded.
+    :param responses: :class:`ResponseEvent` list that the callers recorded.
     """
     found = []
-    found += _ran_twice(runs)
-    found += _false_refusals(runs, answers)
-    found += _wrong_answers(answers)
-    found += _unfounded_claims(runs, answers)
+    found += _find_repeated_runs(runs)
+    found += _find_false_refusals(runs, responses)
+    found += _find_wrong_bodies(responses)
+    found += _find_false_ran_verdicts(runs, responses)
     return found
 
 
-def _ran_twice(runs):
+def _find_repeated_runs(runs):
     counts = collections.Counter(run.key for run in runs if run.key)
     return [f"{key} ran {count} times" for key, count in counts.items() if count > 1]
 
 
-def _false_refusals(runs, answers):
-    """A key that was once answered "not run" never runs, before or afterwards."""
+def _find_false_refusals(runs, responses):
+    """A key that was answered "not-run" has not run before and never runs later."""
     ran = {run.key for run in runs if run.key}
     return [
-        f"{answer.key} was answered not-run ({answer.code}) but ran"
-        for answer in answers
-        if answer.verdict == "not-run" and answer.key in ran
+        f"{response.key} was answered not-run ({response.code}) but ran"
+        for response in responses
+        if response.verdict == "not-run" and response.key in ran
     ]
 
 
-def _wrong_answers(answers):
+def _find_wrong_bodies(responses):
     return [
-        f"{answer.key} got {answer.body!r}, expected {answer.expected!r}"
-        for answer in answers
-        if answer.status == 200 and answer.body != answer.expected
+        f"{response.key} got {response.body!r}, expected {response.expected!r}"
+        for response in responses
+        if response.status == 200 and response.body != response.expected
     ]
 
 
-def _unfounded_claims(runs, answers):
+def _find_false_ran_verdicts(runs, responses):
     completed = {run.key for run in runs if run.completed}
     return [
-        f"{answer.key} was answered as run but never ran to its end"
-        for answer in answers
-        if answer.verdict == "ran" and answer.key and answer.key not in completed
+        f"{response.key} was answered as ran but no run of it completed"
+        for response in responses
+        if response.verdict == "ran" and response.key and response.key not in completed
     ]
--- a/boragegw/standins/_platform.py
+++ b/boragegw/standins/_platform.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform: configuration service and list of VMs over HTTP."""
+"""A fake platform: the configuration service and the list of VMs over HTTP."""
 
 import asyncio
 import json
@@ -10,13 +10,15 @@
 
 
 class PublishedState:
-    """What the operators and the platform have published.
+    """Configuration and list of VMs as published, with injected read faults.
 
-    :param outage: reads fail with status 503.
-    :param garbage: reads return what is not JSON.
-    :param frozen: reads return the state at the time of the freeze, as a stale
-        replica does.
-    :param delay: seconds that each read takes.
+    Attributes that inject faults:
+
+    - ``outage``: reads fail, over HTTP with status 503;
+    - ``garbage``: reads return invalid JSON;
+    - ``delay``: additional seconds that each read takes.
+
+    :meth:`freeze` makes reads return stale configuration. ``reads`` counts the reads.
     """
 
     def __init__(self):
@@ -33,83 +35,86 @@
         self._changed = asyncio.Event()
 
     def publish(self, documents):
-        """Publish ``documents`` (bytes by name) as the next revision."""
+        """Publish ``documents``, a dictionary from name to bytes, as the next revision.
+
+        Documents that are not named stay as they are.
+        """
         self.documents = {**self.documents, **documents}
         self.revision += 1
         head = configuration.head_for(self.revision, self.documents)
         self.head = configuration.encode_document(head)
-        self._wake()
+        self._notify_watchers()
 
     def replace(self, revision, documents):
-        """Publish a whole set under its own revision."""
+        """Replace all documents and publish them as ``revision``."""
         self.documents = {}
         self.revision = revision - 1
         self.publish(documents)
 
     def publish_recalls(self, rows):
-        """Publish the recalled batches: pairs (kind, values)."""
+        """Publish the recalls, given as pairs (kind, values)."""
         document = configuration.RecallsDocument(
             recalls=[{"kind": kind, "values": values} for kind, values in rows]
         )
         self.publish({"recalls": configuration.encode_document(document)})
 
     def set_vms(self, rows):
-        """Set the list of VMs from dictionaries."""
+        """Set the list of VMs to ``rows``, dictionaries of the VM's fields."""
         self.vms = {row["name"]: row for row in rows}
         self.bump_vms_version()
 
     def bump_vms_version(self):
-        """Count the version of the list up after a change to ``vms``."""
+        """Increment the version of the list of VMs after a change to ``vms``."""
         self.version += 1
-        self._wake()
+        self._notify_watchers()
 
     def encode_vms(self):
-        """Return the list as published."""
+        """Return the list of VMs as encoded JSON."""
         rows = list(self.vms.values())
         return json.dumps({"version": self.version, "vms": rows}).encode()
 
     def freeze(self):
-        """Serve the present state from now on, as a replica that has fallen behind."""
+        """Keep serving the current documents, as a replica that lags behind does."""
         self._frozen = (self.revision, self.head, dict(self.documents))
 
     def unfreeze(self):
-        """Serve the latest state again."""
+        """Serve the latest documents again."""
         self._frozen = None
-        self._wake()
+        self._notify_watchers()
 
-    def _wake(self):
+    def _notify_watchers(self):
         self._changed.set()
         self._changed = asyncio.Event()
 
     def served_head(self):
-        """Return the revision and the raw head that readers get."""
+        """Return the revision and the encoded head document that readers get."""
         if self._frozen is not None:
             return self._frozen[:2]
         return self.revision, self.head
 
     def served_document(self, name):
-        """Return the raw document that readers get, or ``None``."""
+        """Return the encoded document that readers get, or ``None``."""
         documents = self._frozen[2] if self._frozen is not None else self.documents
         return documents.get(name)
 
     async def wait_for(self, is_newer, timeout):
-        """Wait until ``is_newer`` returns true, or ``timeout`` seconds."""
+        """Wait until ``is_newer`` returns true, but at most ``timeout`` seconds."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + timeout
-        while not is_newer() and loop.time() < end:
+        deadline = loop.time() + timeout
+        while not is_newer() and loop.time() < deadline:
             event = self._changed
             try:
-                async with asyncio.timeout_at(end):
+                async with asyncio.timeout_at(deadline):
                     await event.wait()
             except TimeoutError:
                 return
 
 
 class StandinPlatform:
-    """Serves a :class:`PublishedState` over HTTP, read and watch only.
+    """Serves a :class:`PublishedState` over HTTP for reads and watches.
 
-    :param state: the state.
-    :param address: ``host:port``.
+    :param state: the :class:`PublishedState`.
+    :param address: ``host:port`` to listen on.
     """
 
     def __init__(self, state, address="127.0.0.1:0"):
@@ -126,7 +131,7 @@
         content = b"\x00garbage{" if self.state.garbage else raw
         return litestar.Response(content, media_type="application/json")
 
-    async def _count(self):
+    async def _delay_read(self):
         self.state.reads += 1
         await asyncio.sleep(self.state.delay)
 
@@ -135,24 +140,24 @@
 
         @litestar.get("/v1/configuration/head")
         async def head() -> litestar.Response:
-            await self._count()
+            await self._delay_read()
             return self._reply(state.served_head()[1])
 
         @litestar.get("/v1/configuration/watch")
         async def watch(after: int, timeout: float) -> litestar.Response:
-            await self._count()
+            await self._delay_read()
             if not state.outage:
                 await state.wait_for(lambda: state.served_head()[0] > after, timeout)
             return self._reply(state.served_head()[1])
 
         @litestar.get("/v1/configuration/documents/{name:str}")
         async def document(name: str) -> litestar.Response:
-            await self._count()
+            await self._delay_read()
             return self._reply(state.served_document(name))
 
         @litestar.get("/v1/vms/watch")
         async def vms(after: int, timeout: float) -> litestar.Response:
-            await self._count()
+            await self._delay_read()
             if not state.outage:
                 await state.wait_for(lambda: state.version > after, timeout)
             return self._reply(state.encode_vms())
@@ -167,6 +172,6 @@
         self._task = loop.create_task(self._listener.run_until_told())
 
     async def stop(self):
-        """Stop at once."""
+        """Stop without draining."""
         self._listener.abort()
         await self._task
