--- a/boragegw/standins/_virtual_backend.py
+++ b/boragegw/standins/_virtual_backend.py
@@ -1,4 +1,4 @@
-"""Backend servers in virtual time."""
+"""Fake backend servers in virtual time."""
 
 import asyncio
 import collections
@@ -13,9 +13,11 @@
 
 @dataclasses.dataclass(slots=True)
 class RunEvent:
-    """A backend server has begun to run a request.
+    """The run of a request at a backend server.
 
-    :param completed: the run came to its end.
+    :param at: loop time in seconds at which it started.
+    :param key: idempotency key, "" if there is none.
+    :param completed: whether the run completed.
     """
 
     at: float
@@ -28,7 +30,25 @@
 
 @dataclasses.dataclass(slots=True)
 class VirtualFaults(_faults.CountedFaults):
-    """Faults of one backend server; counted ones strike the next requests."""
+    """Injected faults of one backend server.
+
+    Integer fields count the requests that are still to be affected.
+
+    :param slow_factor: current factor on the service time.
+    :param refuse: reject every request as not run.
+    :param fail_fast: respond with status 500 at once.
+    :param draining: report draining and reject every request as not run.
+    :param down: accept no connections and break open ones when a request arrives.
+    :param crash_before: requests that crash the server before they run.
+    :param crash_after: requests that crash the server after they ran.
+    :param lose_response: responses that never arrive.
+    :param late_response: responses that are delayed by a second.
+    :param mismatched_response: responses that belong to another attempt.
+    :param truncate_response: responses whose body ends half-way.
+    :param poison: text in the target of requests that crash the server; "" for none.
+    :param report_lag: seconds by which load reports are stale.
+    :param report_factor: factor on the reported load; with 0 reports are correct.
+    """
 
     slow_factor: float = 1.0
     refuse: bool = False
@@ -47,12 +67,16 @@
 
 
 class VirtualBackend:
-    """One backend server: slots, a short queue, a cold start, reports, faults.
+    """A backend server with slots, a queue, a cold start, load reports and faults.
 
-    :param service_time: function that draws the seconds a request needs.
-    :param cold_capacity: requests that it bears at once while cold.
-    :param cold_seconds: time from its start until it is warm.
-    :param queue: requests that may wait behind the slots; more are refused.
+    :param vm: its :class:`~boragegw.blackboard.VirtualMachine`.
+    :param loop_time: function that returns the loop time in seconds.
+    :param service_time: function that draws the service time of a request in seconds.
+    :param cold_capacity: concurrent requests that it handles without slowing down
+        while it is cold.
+    :param cold_seconds: seconds from a cold start until it is warm.
+    :param queue: requests that may be queued for a slot; more are refused.
+    :param log: list to which a :class:`RunEvent` of each run is appended, or ``None``.
 
     ``max_cold_load_ratio`` is the highest ratio of requests in flight to
     ``cold_capacity`` while the server is cold. It includes requests that were in flight
@@ -87,100 +111,100 @@
         self.probes = 0
         self.latest_received_at = float("-inf")
         self._started_at = loop_time()
-        self._free = vm.slots
+        self._free_slots = vm.slots
         self._waiting = collections.deque()
-        self._running = set()
-        self._history = collections.deque(maxlen=4096)
+        self._crash_futures = set()
+        self._in_flight_history = collections.deque(maxlen=4096)
 
     @property
     def name(self):
-        """The VM's name."""
+        """The name of the VM."""
         return self.vm.name
 
     @property
     def cold(self):
-        """Whether it is still cold."""
+        """Whether the server has not warmed up yet."""
         return self.loop_time() - self._started_at < self.cold_seconds
 
     def skip_warm_up(self):
-        """Be warm from the start of a benchmark."""
+        """Make the server warm at once."""
         self._started_at = float("-inf")
 
     def turn_cold(self):
-        """Become cold without a restart and without warning."""
+        """Become cold without warning: no restart and no lost requests."""
         self._started_at = self.loop_time()
 
     def restart(self):
-        """Crash and come back cold; everything in flight is lost."""
+        """Crash and restart cold; all requests in flight fail."""
         self.generation += 1
         self._started_at = self.loop_time()
-        for future in list(self._running):
+        for future in list(self._crash_futures):
             if not future.done():
-                future.set_exception(ConnectionResetError("crashed"))
+                future.set_exception(ConnectionResetError("backend server crashed"))
         while self._waiting:
             future = self._waiting.popleft()
             if not future.done():
-                future.set_exception(ConnectionResetError("crashed"))
-        self._free = self.vm.slots
+                future.set_exception(ConnectionResetError("backend server crashed"))
+        self._free_slots = self.vm.slots
 
     def report(self, now):
-        """Return the load report as of the fault's lag, perhaps a lie."""
+        """Return the load report, changed by ``report_lag`` and ``report_factor``."""
         in_flight = self.in_flight
         if self.faults.report_lag:
-            in_flight = self._lagged(now - self.faults.report_lag)
+            in_flight = self._in_flight_at(now - self.faults.report_lag)
         if self.faults.report_factor:
             in_flight = int(in_flight * self.faults.report_factor)
         return blackboard.LoadReport(
             in_flight, self.cold, self.faults.draining, f"g{self.generation}", now
         )
 
-    def _lagged(self, moment):
+    def _in_flight_at(self, moment):
         value = 0
-        for at, in_flight in self._history:
+        for at, in_flight in self._in_flight_history:
             if at > moment:
                 break
             value = in_flight
         return value
 
-    def _count(self, change, late):
+    def _adjust_in_flight(self, change, late):
         self.in_flight += change
         if late:
             self._late_in_flight += change
             ratio = self._late_in_flight / self.cold_capacity
             self.max_late_cold_load_ratio = max(self.max_late_cold_load_ratio, ratio)
         if self.faults.report_lag:
-            self._history.append((self.loop_time(), self.in_flight))
+            self._in_flight_history.append((self.loop_time(), self.in_flight))
         if self.cold and change > 0:
             ratio = self.in_flight / self.cold_capacity
             self.max_cold_load_ratio = max(self.max_cold_load_ratio, ratio)
 
     @property
     def refuses(self):
-        """Whether new work is refused as not run."""
+        """Whether new requests are refused as not run."""
         full = self.in_flight >= self.vm.slots + self.queue
         return self.faults.refuse or self.faults.draining or full
 
     async def run(self, key, target, attempt_id):
-        """Run a request in a slot.
+        """Run a request in a slot, after waiting for one.
 
-        :raises ConnectionResetError: if the server crashes meanwhile.
+        :raises ConnectionResetError: if the server crashes before the run completes.
         """
         generation = self.generation
         late = self.cold and self.loop_time() - self._started_at > COLD_NOTICE_SECONDS
-        self._count(1, late)
+        self._adjust_in_flight(1, late)
         try:
-            await self._take_slot()
+            await self._acquire_slot()
             try:
-                await self._occupy(key, target, attempt_id)
+                await self._run_in_slot(key, target, attempt_id)
             finally:
                 if generation == self.generation:
-                    self._give_slot()
+                    self._release_slot()
         finally:
-            self._count(-1, late)
+            self._adjust_in_flight(-1, late)
 
-    async def _take_slot(self):
-        if self._free > 0:
-            self._free -= 1
+    async def _acquire_slot(self):
+        if self._free_slots > 0:
+            self._free_slots -= 1
             return
         future = asyncio.get_running_loop().create_future()
         self._waiting.append(future)
@@ -188,20 +212,20 @@
             await future
         except asyncio.CancelledError:
             if future.done() and not future.cancelled():
-                self._give_slot()
+                self._release_slot()
             elif future in self._waiting:
                 self._waiting.remove(future)
             raise
 
-    def _give_slot(self):
+    def _release_slot(self):
         while self._waiting:
             future = self._waiting.popleft()
             if not future.done():
                 future.set_result(None)
                 return
-        self._free += 1
+        self._free_slots += 1
 
-    async def _occupy(self, key, target, attempt_id):
+    async def _run_in_slot(self, key, target, attempt_id):
         loop = asyncio.get_running_loop()
         event = None
         if self.log is not None:
@@ -209,28 +233,32 @@
             self.log.append(event)
         remaining = self.service_time()
         future = loop.create_future()
-        self._running.add(future)
+        self._crash_futures.add(future)
         try:
-            await self._work(remaining, future)
+            await self._serve(remaining, future)
         finally:
-            self._running.discard(future)
+            self._crash_futures.discard(future)
         if event is not None:
             event.completed = True
 
-    async def _work(self, remaining, crashed):
-        """Do ``remaining`` seconds of work, slower while slowed or overloaded cold."""
-        step = 0.005
+    async def _serve(self, remaining, crashed):
+        """Spend ``remaining`` seconds of service time.
+
+        It takes longer under ``slow_factor`` and while a cold server is overloaded.
+        Both may change during the run, so it is simulated in short steps.
+        """
+        step_seconds = 0.005
         while remaining > 1e-9:
-            part = min(step, remaining)
-            slow = self.faults.slow_factor
+            part = min(step_seconds, remaining)
+            slowdown = self.faults.slow_factor
             if self.cold:
-                slow *= max(1.0, self.in_flight / self.cold_capacity)
-            await _sleep_unless(crashed, part * slow)
+                slowdown *= max(1.0, self.in_flight / self.cold_capacity)
+            await _sleep_unless_crashed(crashed, part * slowdown)
             remaining -= part
 
 
-async def _sleep_unless(crashed, seconds):
-    """Sleep; raise the error of the future ``crashed`` as soon as it is set."""
+async def _sleep_unless_crashed(crashed, seconds):
+    """Sleep for ``seconds``, or until the future ``crashed`` fails; raise its error."""
     loop = asyncio.get_running_loop()
     wakeup = loop.create_future()
 
--- a/boragegw/standins/_virtual_fleet.py
+++ b/boragegw/standins/_virtual_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time: real nodes, fakes at their interfaces."""
+"""A fleet in virtual time: real nodes with fake transports, networks and sources."""
 
 import asyncio
 import dataclasses
@@ -14,15 +14,22 @@
 
 DATA_CENTRES = ("dc-a", "dc-b", "dc-c")
 SECRET = b"virtual-fleet-secret"
-WALL_START = 1_700_000_000.0
+#: Wall clock at loop time zero, in seconds since the epoch.
+WALL_CLOCK_START_SECONDS = 1_700_000_000.0
 
 
 @dataclasses.dataclass(slots=True)
 class ServiceSpec:
-    """One service of a virtual fleet.
+    """A service of a virtual fleet and the properties of its backend servers.
 
+    :param backends: number of backend servers.
+    :param slots: slots of each backend server.
     :param document: members of its service document besides the name.
-    :param mean_service_seconds: mean seconds of a request (exponential).
+    :param mean_service_seconds: mean of the exponentially distributed service time.
+    :param cold_seconds: seconds from a cold start until a backend server is warm.
+    :param cold_capacity: concurrent requests that a cold backend server handles without
+        slowing down.
+    :param queue: requests that may be queued for a slot of a backend server.
     """
 
     name: str
@@ -36,12 +43,13 @@
 
 
 class VirtualFleet:
-    """Nodes, backend servers and platform in one virtual-time loop.
+    """Nodes, backend servers and a platform in one virtual-time event loop.
 
     :param specs: :class:`ServiceSpec` list.
     :param entries: number of entry processes.
-    :param seed: of everything random.
-    :param parameters: function from an index to a node's ``NodeParameters``.
+    :param seed: seed of all random number generators.
+    :param parameters: function from an entry's index to its ``NodeParameters``.
+    :param loss: share of datagrams between entries that are lost.
     """
 
     def __init__(self, specs, entries=6, seed=0, parameters=None, loss=0.0):
@@ -58,10 +66,13 @@
         self.servers = {}
         self.transports = {}
         self.entries = {}
-        self._starts = 0
+        self._incarnation_count = 0
 
     async def start(self, warm=True):
-        """Start everything; with ``warm`` all temperatures are warm and known."""
+        """Start everything and let the entries exchange heartbeats for 3 seconds.
+
+        :param warm: all backend servers are warm, and all entries know that.
+        """
         self._publish()
         rows = self._backend_rows()
         for index in range(self.entry_count):
@@ -72,7 +83,7 @@
         await asyncio.gather(*(node.start() for node in nodes))
         await asyncio.sleep(3.0)
         if warm:
-            self._know_warm()
+            self._mark_backends_warm()
 
     def _publish(self):
         documents = {"recalls": configuration.encode_document({"recalls": []})}
@@ -109,7 +120,7 @@
 
     @staticmethod
     def peer_address(index):
-        """Return the peer address of the entry ``index``."""
+        """Return the peer address of the entry with the given index."""
         return f"10.0.0.{index + 1}:90"
 
     def _make_servers(self, warm):
@@ -119,11 +130,11 @@
             for vm in vms.values():
                 if vm.service != spec.name:
                     continue
-                draw = random.Random(f"{self.seed}/{vm.name}")
+                rng = random.Random(f"{self.seed}/{vm.name}")
                 self.servers[vm.name] = _virtual_backend.VirtualBackend(
                     vm,
                     loop.time,
-                    lambda draw=draw, mean=spec.mean_service_seconds: draw.expovariate(
+                    lambda rng=rng, mean=spec.mean_service_seconds: rng.expovariate(
                         1 / mean
                     ),
                     spec.cold_capacity,
@@ -135,11 +146,16 @@
                     self.servers[vm.name].skip_warm_up()
 
     def make_entry(self, index):
-        """Return a new process incarnation for the entry ``index``."""
-        self._starts += 1
+        """Return a new node, not started, for the entry with the given index.
+
+        Each call gives the node a new incarnation.
+        """
+        self._incarnation_count += 1
         address = self.peer_address(index)
         data_centre = DATA_CENTRES[index % len(DATA_CENTRES)]
-        incarnation = random.Random(f"{self.seed}/{self._starts}").getrandbits(64)
+        incarnation = random.Random(
+            f"{self.seed}/{self._incarnation_count}"
+        ).getrandbits(64)
         identity = blackboard.Identity(
             f"entry-{index + 1}",
             data_centre,
@@ -159,7 +175,7 @@
         source = _virtual_network.VirtualPlatformSource(self.state, wait_while_paused)
         node = server.Node(
             identity,
-            clock=utils.LoopClock(WALL_START),
+            clock=utils.LoopClock(WALL_CLOCK_START_SECONDS),
             random_state=random.Random(incarnation),
             transport=transport,
             network=_virtual_network.VirtualPeerNetwork(
@@ -177,19 +193,19 @@
         return node
 
     def _make_transport(self, address, data_centre, wait_while_paused):
-        place = (address, data_centre)
+        endpoint = (address, data_centre)
 
         def reachable(vm):
-            return not self.simulator.is_cut(place, (vm.address, vm.data_centre))
+            return not self.simulator.is_cut(endpoint, (vm.address, vm.data_centre))
 
         return _virtual_transport.VirtualTransport(
             self.servers,
-            lambda vm: self.simulator.delay(data_centre, vm.data_centre),
+            lambda vm: self.simulator.latency(data_centre, vm.data_centre),
             reachable,
             wait_while_paused,
         )
 
-    def _know_warm(self):
+    def _mark_backends_warm(self):
         for node in self.entries.values():
             for service in node.board.services.values():
                 for backend in service.backends.values():
@@ -197,13 +213,13 @@
                     backend.incarnation = "g1"
 
     async def kill(self, index):
-        """End an entry as a crash does."""
+        """Crash an entry."""
         node = self.entries.pop(index)
         self.simulator.kill(node.board.identity.peer_address)
         await node.close()
 
     async def stop_gracefully(self, index):
-        """Stop an entry as planned; return whether all its work was finished."""
+        """Stop an entry gracefully; return whether it finished all its work."""
         node = self.entries[index]
         finished = await node.stop()
         self.simulator.nodes.pop(node.board.identity.peer_address, None)
@@ -211,7 +227,7 @@
         return finished
 
     def has_applied(self, revision):
-        """Return whether all entries have ``revision`` in force."""
+        """Return whether all entries have applied ``revision`` or a later one."""
         return all(
             node.board.configuration.revision >= revision
             for node in self.entries.values()
@@ -220,14 +236,15 @@
     async def request(
         self, index, service, method, target, content=b"", key="", deadline=5.0
     ):
-        """Send one request to an entry; return its answer and the whole body.
+        """Send one request to an entry; return its response and the complete body.
 
-        :raises ConnectionResetError: if the entry dies meanwhile.
-        :raises TruncatedResponseError: if the answer breaks off.
+        :param deadline: seconds from now until the deadline of the request.
+        :raises ConnectionResetError: if the entry is down or crashes meanwhile.
+        :raises TruncatedResponseError: if the body of the response is truncated.
         """
         node = self.entries.get(index)
         if node is None:
-            raise ConnectionResetError("no such entry")
+            raise ConnectionResetError("entry is not running")
         await self.simulator.wait_while_paused(node.board.identity.peer_address)
         headers = [(b"content-type", b"text/plain")]
         if key:
@@ -243,32 +260,32 @@
             key=key,
         )
         address = node.board.identity.peer_address
-        task = self.simulator.start_incoming(address, _carried_whole(node, request))
+        task = self.simulator.start_incoming(address, _carry_and_read(node, request))
         try:
-            answer, content = await task
+            response, content = await task
         except asyncio.CancelledError:
             if task.cancelled() and self.entries.get(index) is not node:
-                raise ConnectionResetError("the entry has died") from None
+                raise ConnectionResetError("entry crashed during the request") from None
             task.cancel()
             raise
         await self.simulator.wait_while_paused(address)
-        return answer, content
+        return response, content
 
     async def close(self):
-        """End all entries at once."""
+        """Crash all entries."""
         for index in list(self.entries):
             await self.kill(index)
 
 
-async def _carried_whole(node, request):
-    """Carry a request and read its answer, as the caller-facing interface does."""
+async def _carry_and_read(node, request):
+    """Carry a request and read its response, as the listener for callers does."""
     lifecycle = node.board.lifecycle
     lifecycle.in_flight += 1
     try:
-        answer = await node.carrier.carry(request)
+        response = await node.carrier.carry(request)
         try:
-            return answer, await answer.read()
+            return response, await response.read()
         finally:
-            await answer.aclose()
+            await response.aclose()
     finally:
         lifecycle.in_flight -= 1
--- a/boragegw/standins/_virtual_transport.py
+++ b/boragegw/standins/_virtual_transport.py
@@ -1,47 +1,51 @@
-"""The transport to virtual backend servers.
+"""The transport to fake backend servers in virtual time.
 
-Implements the transport's interface, so that the real entry code runs against it.
+It implements the interface of the real transport, so that the real entry code runs on
+it.
 """
 
 import asyncio
 
 from boragegw import backends, errors, messages
 
-NEW_CONNECTION = 0.001
-PROBE_TIME = 0.006
+#: Processing time to open a connection, besides the round trip.
+CONNECT_SECONDS = 0.001
+#: Processing time of a probe, besides the round trip.
+PROBE_SECONDS = 0.006
+#: Seconds; a non-idempotent request uses no connection that was idle for longer.
 NON_IDEMPOTENT_IDLE_LIMIT = 1.0
 
 
 class VirtualTransport(backends.BackendTransport):
-    """Reaches virtual backend servers from one entry.
+    """Sends attempts and probes from one entry to fake backend servers.
 
-    :param servers: :class:`VirtualBackend` by VM name.
-    :param delay: function from a VM to the one-way seconds to it.
-    :param reachable: function from a VM to whether the network lets it through.
+    :param servers: dictionary from VM name to :class:`VirtualBackend`.
+    :param latency: function from a VM to the one-way latency in seconds.
+    :param reachable: function that returns whether a VM is reachable.
     :param wait_while_paused: coroutine function that returns once this entry is
         not paused.
     """
 
-    def __init__(self, servers, delay, reachable, wait_while_paused):
+    def __init__(self, servers, latency, reachable, wait_while_paused):
         self.servers = servers
-        self.delay = delay
+        self.latency = latency
         self.reachable = reachable
         self.wait_while_paused = wait_while_paused
         self.sends = 0
-        self._connected = {}
-        self._silenced = set()
+        self._connections = {}
+        self._silent_connections = set()
 
     def silence_connections(self, name):
-        """Make the open connections to a backend server go silent for good."""
-        self._silenced.add(name)
+        """Make the open connections to a backend server drop all traffic for good."""
+        self._silent_connections.add(name)
 
     def discard(self, vm, opened_before=None):
-        """Drop the connections to ``vm``."""
-        self._connected.pop(vm.name, None)
-        self._silenced.discard(vm.name)
+        """Discard the connections to ``vm``."""
+        self._connections.pop(vm.name, None)
+        self._silent_connections.discard(vm.name)
 
     async def send(self, attempt):
-        """Send an attempt."""
+        """Send an attempt and return its :class:`~boragegw.backends.BackendAnswer`."""
         self.sends += 1
         server = self.servers[attempt.vm.name]
         try:
@@ -55,58 +59,58 @@
             ) from error
 
     async def _connect(self, server, attempt):
-        known, used_at = self._connected.get(server.name, (None, 0.0))
-        connected = known == server.generation
+        known_generation, used_at = self._connections.get(server.name, (None, 0.0))
+        connected = known_generation == server.generation
         idle = server.loop_time() - used_at
         if connected and not attempt.idempotent and idle > NON_IDEMPOTENT_IDLE_LIMIT:
-            connected, known = False, None
-        if known is not None and not connected and not attempt.fresh:
-            del self._connected[server.name]
+            connected, known_generation = False, None
+        if known_generation is not None and not connected and not attempt.fresh:
+            del self._connections[server.name]
             raise backends.AttemptError(
                 backends.Failure.CLOSED,
                 errors.Verdict.NOT_RUN,
                 f"{server.name}: closed an idle connection",
             )
         if attempt.fresh or not connected:
-            await asyncio.sleep(NEW_CONNECTION + 2 * self.delay(server.vm))
+            await asyncio.sleep(CONNECT_SECONDS + 2 * self.latency(server.vm))
             if server.faults.down or not self.reachable(server.vm):
                 raise backends.AttemptError(
                     backends.Failure.UNREACHABLE,
                     errors.Verdict.NOT_RUN,
                     f"{server.name}: unreachable",
                 )
-            self._silenced.discard(server.name)
-        self._connected[server.name] = (server.generation, server.loop_time())
+            self._silent_connections.discard(server.name)
+        self._connections[server.name] = (server.generation, server.loop_time())
 
     async def _exchange(self, server, attempt):
         await self._connect(server, attempt)
-        silenced = server.name in self._silenced
-        await asyncio.sleep(self.delay(server.vm))
+        silenced = server.name in self._silent_connections
+        await asyncio.sleep(self.latency(server.vm))
         if silenced or not self.reachable(server.vm):
             await asyncio.sleep(3600)
         server.received += 1
         server.latest_received_at = server.loop_time()
-        answer = await self._serve(server, attempt)
-        await self._travel_back(server, attempt)
-        return answer
+        response = await self._serve(server, attempt)
+        await self._deliver_response(server, attempt)
+        return response
 
-    async def _travel_back(self, server, attempt):
+    async def _deliver_response(self, server, attempt):
         faults = server.faults
         if faults.consume("lose_response") or not self.reachable(server.vm):
             await asyncio.sleep(3600)
         if faults.consume("late_response"):
             await asyncio.sleep(1.0)
-        await asyncio.sleep(self.delay(server.vm))
+        await asyncio.sleep(self.latency(server.vm))
         await self.wait_while_paused()
         if faults.consume("mismatched_response"):
             raise backends.AttemptError(
                 backends.Failure.MISMATCH,
                 errors.Verdict.MAY_HAVE_RUN,
-                f"{server.name}: answer to another attempt",
+                f"{server.name}: response to another attempt",
             )
 
-    def _broken(self, server, verdict=errors.Verdict.MAY_HAVE_RUN):
-        self._connected.pop(server.name, None)
+    def _break_connection(self, server, verdict=errors.Verdict.MAY_HAVE_RUN):
+        self._connections.pop(server.name, None)
         return backends.AttemptError(
             backends.Failure.BROKEN, verdict, f"{server.name}: connection broken"
         )
@@ -115,15 +119,15 @@
         faults = server.faults
         now = server.loop_time()
         if faults.down:
-            raise self._broken(server)
+            raise self._break_connection(server)
         if faults.poison and faults.poison in attempt.target:
             server.restart()
-            raise self._broken(server)
+            raise self._break_connection(server)
         if faults.consume("crash_before"):
             server.restart()
-            raise self._broken(server)
+            raise self._break_connection(server)
         if faults.fail_fast:
-            return self._answer(server, attempt, 500, b"failed")
+            return self._make_response(server, attempt, 500, b"failed")
         if server.refuses:
             raise backends.AttemptError(
                 backends.Failure.REFUSED,
@@ -140,25 +144,25 @@
         try:
             await server.run(key, attempt.target, attempt.attempt_id)
         except ConnectionResetError as error:
-            raise self._broken(server) from error
+            raise self._break_connection(server) from error
         if server.faults.consume("crash_after"):
             server.restart()
-            raise self._broken(server)
+            raise self._break_connection(server)
         content = f"{attempt.method} {attempt.target} {key}".encode()
-        return self._answer(server, attempt, 200, content)
+        return self._make_response(server, attempt, 200, content)
 
-    def _answer(self, server, attempt, status, content):
+    def _make_response(self, server, attempt, status, content):
         truncated = server.faults.consume("truncate_response")
         headers = [(b"content-length", str(len(content)).encode())]
-        body = _parts(content, truncated)
+        body = _body_chunks(content, truncated)
         report = server.report(server.loop_time())
         return backends.BackendAnswer(status, headers, body, report)
 
     async def probe(self, vm, timeout):
-        """Ask for a load report."""
+        """Return the load report of ``vm``."""
         server = self.servers[vm.name]
         server.probes += 1
-        await asyncio.sleep(PROBE_TIME + 2 * self.delay(vm))
+        await asyncio.sleep(PROBE_SECONDS + 2 * self.latency(vm))
         if server.faults.down or not self.reachable(vm):
             raise backends.AttemptError(
                 backends.Failure.UNREACHABLE,
@@ -169,9 +173,9 @@
         return server.report(server.loop_time())
 
 
-async def _parts(content, truncated):
+async def _body_chunks(content, truncated):
     half = len(content) // 2
     yield content[:half]
     if truncated:
-        raise errors.TruncatedResponseError("broke off")
+        raise errors.TruncatedResponseError("response body ended early")
     yield content[half:]
