--- a/boragegw/standins/tests/test_known_red.py
+++ b/boragegw/standins/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests known to fail are passed over: exactly these, and only while they do."""
+"""The tests listed in ``KNOWN-RED.txt`` are expected to fail, and no others."""
 
 import importlib.util
 import pathlib
@@ -19,8 +19,8 @@
 """
 
 
-class Item:
-    """A collected test."""
+class FakeItem:
+    """A fake of a collected test."""
 
     def __init__(self, nodeid):
         self.nodeid = nodeid
@@ -31,14 +31,14 @@
 
 
 @pytest.fixture(name="module")
-def load():
+def load_conftest():
     spec = importlib.util.spec_from_file_location("root", ROOT / "conftest.py")
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
     return module
 
 
-def test_only_lines_that_begin_so_name_tests(module):
+def test_only_lines_with_the_field_prefix_name_tests(module):
     assert module.listed(TEXT) == [
         "a/test_a.py::test_one[x y]",
         "a/test_a.py::test_gone",
@@ -46,9 +46,9 @@
     assert module.listed("") == []
 
 
-def test_exactly_the_listed_tests_are_strictly_expected_to_fail(module):
+def test_only_listed_tests_are_marked_as_strict_xfail(module):
     names = ("test_one[x y]", "test_one[x]", "test_one", "test_two")
-    items = [Item(f"a/test_a.py::{name}") for name in names]
+    items = [FakeItem(f"a/test_a.py::{name}") for name in names]
     missing = module.mark(items, module.listed(TEXT))
     assert missing == ["a/test_a.py::test_gone"]
     (marker,) = items[0].markers
@@ -58,20 +58,20 @@
 
 
 @pytest.mark.parametrize(
-    ("source", "fails"),
+    ("args_source", "fails"),
     [("ARGS", False), ("TESTPATHS", True), ("INVOCATION_DIR", True)],
 )
-def test_run_of_the_whole_suite_fails_without_a_listed_test(
-    module, tmp_path, source, fails
+def test_whole_suite_run_fails_if_a_listed_test_is_missing(
+    module, tmp_path, args_source, fails
 ):
     (tmp_path / module.FILE).write_text(TEXT)
     config = types.SimpleNamespace(
         rootpath=tmp_path,
         stash=pytest.Stash(),
-        args_source=pytest.Config.ArgsSource[source],
+        args_source=pytest.Config.ArgsSource[args_source],
     )
     session = types.SimpleNamespace(config=config, exitstatus=0)
-    items = [Item("a/test_a.py::test_one[x y]")]
+    items = [FakeItem("a/test_a.py::test_one[x y]")]
     module.pytest_collection_modifyitems(config, items)
     module.pytest_sessionfinish(session)
     assert bool(session.exitstatus) is fails
