--- a/boragegw/standins/tests/test_known_red.py
+++ b/boragegw/standins/tests/test_known_red.py
@@ -58,17 +58,17 @@
 
 
 @pytest.mark.parametrize(
-    ("args_source", "fails"),
+    ("source", "fails"),
     [("ARGS", False), ("TESTPATHS", True), ("INVOCATION_DIR", True)],
 )
 def test_whole_suite_run_fails_if_a_listed_test_is_missing(
-    module, tmp_path, args_source, fails
+    module, tmp_path, source, fails
 ):
     (tmp_path / module.FILE).write_text(TEXT)
     config = types.SimpleNamespace(
         rootpath=tmp_path,
         stash=pytest.Stash(),
-        args_source=pytest.Config.ArgsSource[args_source],
+        args_source=pytest.Config.ArgsSource[source],
     )
     session = types.SimpleNamespace(config=config, exitstatus=0)
     items = [FakeItem("a/test_a.py::test_one[x y]")]
