--- a/boragegw/standins/__init__.py
+++ b/boragegw/standins/__init__.py
@@ -10,10 +10,10 @@
   and the other ``Wire`` classes.
 """
 
-from boragegw.standins._backend import BackendFaults, StandinBackend
 from boragegw.standins._caller import Caller, CallerResponse
-from boragegw.standins._fleet import LocalFleet
-from boragegw.standins._history import ResponseEvent, find_violations
+from boragegw.standins._history_checks import ResponseEvent, find_violations
+from boragegw.standins._http_backend import BackendFaults, StandinBackend
+from boragegw.standins._local_fleet import LocalFleet
 from boragegw.standins._memory_network import (
     HOST,
     MemoryLoop,
--- a/boragegw/standins/_backend.py
+++ b/boragegw/standins/_http_backend.py
@@ -7,11 +7,11 @@
 
 from boragegw import backends
 from boragegw.server import _listener
-from boragegw.standins import _faults
+from boragegw.standins import _counted_faults
 
 
 @dataclasses.dataclass(slots=True)
-class BackendFaults(_faults.CountedFaults):
+class BackendFaults(_counted_faults.CountedFaults):
     """Faults that tests and benchmarks inject.
 
     Integer fields count the requests or responses that are still to be affected.
--- a/boragegw/standins/_fleet.py
+++ b/boragegw/standins/_local_fleet.py
@@ -4,7 +4,7 @@
 import pathlib
 
 from boragegw import configuration, server
-from boragegw.standins import _backend, _caller, _platform
+from boragegw.standins import _caller, _http_backend, _platform
 
 DATA_CENTRES = ("dc-a", "dc-b", "dc-c")
 PEER_KEY = b"standin-key-of-the-peers"
@@ -56,7 +56,7 @@
             for data_centre in DATA_CENTRES:
                 for index in range(service["backends"]):
                     name = f"{service['name']}-{data_centre}-{index + 1}"
-                    backend = _backend.StandinBackend(
+                    backend = _http_backend.StandinBackend(
                         name, self.slots, log=self.runs, warm_up_requests=0
                     )
                     backend.service = service["name"]
--- a/boragegw/standins/_virtual_backend.py
+++ b/boragegw/standins/_virtual_backend.py
@@ -5,7 +5,7 @@
 import dataclasses
 
 from boragegw import blackboard
-from boragegw.standins import _faults
+from boragegw.standins import _counted_faults
 
 #: Requests that arrive later than this after a server turns cold count as late.
 COLD_NOTICE_SECONDS = 0.1
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class VirtualFaults(_faults.CountedFaults):
+class VirtualFaults(_counted_faults.CountedFaults):
     """Injected faults of one backend server.
 
     Integer fields count the requests that are still to be affected.
