--- a/boragegw/standins/_virtual_network.py
+++ b/boragegw/standins/_virtual_network.py
@@ -147,7 +147,7 @@
     async def _carry(self, node, address, incarnation, request):
         """Return the response, unless the connection to the peer is lost meanwhile."""
         task = self.simulator.start_incoming(
-            address, node.carrier.carry_forwarded(incarnation, request)
+            address, node.carrier.handle_forwarded(incarnation, request)
         )
         while not task.done():
             await asyncio.wait([task], timeout=0.05)
@@ -170,13 +170,13 @@
             raise peers.PeerError(f"{address}: unreachable")
         return node.configuration.build_bundle(known)
 
-    async def hand_over(self, address, sealed):
+    async def send_sealed_table(self, address, sealed):
         """Transfer a sealed table to a peer, encoded and decoded as on the wire."""
         node = self._reachable_peer(address)
         await asyncio.sleep(0.002)
         if node is None or address in self.simulator.paused:
             raise peers.PeerError(f"{address}: unreachable")
-        node.take_sealed(peers.decode_sealed(peers.encode_sealed(sealed)))
+        node.take_sealed(peers.decode_sealed_table(peers.encode_sealed_table(sealed)))
 
 
 def _copy_message(message):
--- a/boragegw/standins/_virtual_transport.py
+++ b/boragegw/standins/_virtual_transport.py
@@ -39,13 +39,13 @@
         """Make the open connections to a backend server drop all traffic for good."""
         self._silent_connections.add(name)
 
-    def discard(self, vm, opened_before=None):
+    def close_idle_connections(self, vm, opened_before=None):
         """Discard the connections to ``vm``."""
         self._connections.pop(vm.name, None)
         self._silent_connections.discard(vm.name)
 
     async def send(self, attempt):
-        """Send an attempt and return its :class:`~boragegw.backends.BackendAnswer`."""
+        """Return the :class:`~boragegw.backends.BackendResponse` of an attempt."""
         self.sends += 1
         server = self.servers[attempt.vm.name]
         try:
@@ -64,14 +64,18 @@
         idle = server.loop_time() - used_at
         if connected and not attempt.idempotent and idle > NON_IDEMPOTENT_IDLE_LIMIT:
             connected, known_generation = False, None
-        if known_generation is not None and not connected and not attempt.fresh:
+        if (
+            known_generation is not None
+            and not connected
+            and not attempt.new_connection
+        ):
             del self._connections[server.name]
             raise backends.AttemptError(
                 backends.Failure.CLOSED,
                 errors.Verdict.NOT_RUN,
                 f"{server.name}: closed an idle connection",
             )
-        if attempt.fresh or not connected:
+        if attempt.new_connection or not connected:
             await asyncio.sleep(CONNECT_SECONDS + 2 * self.latency(server.vm))
             if server.faults.down or not self.reachable(server.vm):
                 raise backends.AttemptError(
@@ -156,7 +160,7 @@
         headers = [(b"content-length", str(len(content)).encode())]
         body = _body_chunks(content, truncated)
         report = server.report(server.loop_time())
-        return backends.BackendAnswer(status, headers, body, report)
+        return backends.BackendResponse(status, headers, body, report)
 
     async def probe(self, vm, timeout):
         """Return the load report of ``vm``."""
