--- a/benchmarks/aims.py
+++ b/benchmarks/aims.py
@@ -61,11 +61,11 @@
 
 
 def _partition(run):
-    run.fleet.world.cut("dc-a", "dc-c")
+    run.fleet.simulator.cut("dc-a", "dc-c")
 
 
 def _heal_partition(run):
-    run.fleet.world.heal()
+    run.fleet.simulator.heal()
 
 
 def cold_start(service, seed, seconds):
@@ -107,7 +107,7 @@
 
 def _pause_reader(run):
     node = run.fleet.entries[0]
-    run.fleet.world.pause(node.board.identity.peer_address)
+    run.fleet.simulator.pause(node.board.identity.peer_address)
 
 
 def _count_late_runs(result, after=2.0):
--- a/benchmarks/capacity_measurements.py
+++ b/benchmarks/capacity_measurements.py
@@ -91,8 +91,8 @@
     """
     identity = blackboard.Identity("entry-own", "dc-a", 1, "10.0.0.1:1", "10.0.0.1:2")
     clock = utils.ManualClock(0.0)
-    world = standins.VirtualWorld(random.Random(1))
-    platform = standins.VirtualPlatform(standins.PublishedState(), None)
+    world = standins.NetworkSimulator(random.Random(1))
+    platform = standins.VirtualPlatformSource(standins.PublishedState(), None)
     node = server.Node(
         identity,
         clock=clock,
@@ -118,7 +118,7 @@
     return node
 
 
-class _CountingNetwork(standins.VirtualNetwork):
+class _CountingNetwork(standins.VirtualPeerNetwork):
     """Peer network that encodes sent messages and counts them and their bytes."""
 
     def __init__(self, *arguments):
@@ -269,7 +269,7 @@
 
 
 async def _measure_read_rate(count, seconds=20.0):
-    fleet = standins.VirtualFleet([standins.ServiceShape("s", 3, 2)], count, 1)
+    fleet = standins.VirtualFleet([standins.ServiceSpec("s", 3, 2)], count, 1)
     await fleet.start()
     await asyncio.sleep(5.0)
     reads_before = fleet.state.reads
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -138,7 +138,7 @@
         await self.fleet.start()
         for backend in self.fleet.servers.values():
             backend.faults.report_lag = self.report_lag
-            backend.faults.report_lie = self.report_factor
+            backend.faults.report_factor = self.report_factor
         return await self._measure()
 
     def _true_load(self, name):
@@ -148,7 +148,7 @@
         loop = asyncio.get_running_loop()
         start = loop.time()
         probes = sum(s.probes for s in self.fleet.servers.values())
-        datagrams = self.fleet.world.datagrams
+        datagrams = self.fleet.simulator.datagrams
         background = [
             loop.create_task(self._simulate_noisy_neighbours(s))
             for s in self._noisy_backends()
@@ -164,10 +164,10 @@
             self.samples,
             sum(t.sends for t in self.fleet.transports.values()),
             sum(s.probes for s in self.fleet.servers.values()) - probes,
-            self.fleet.world.datagrams - datagrams,
+            self.fleet.simulator.datagrams - datagrams,
             self.fleet.log,
-            max(s.worst_cold_ratio for s in self.fleet.servers.values()),
-            max(s.worst_late_cold_ratio for s in self.fleet.servers.values()),
+            max(s.max_cold_load_ratio for s in self.fleet.servers.values()),
+            max(s.max_late_cold_load_ratio for s in self.fleet.servers.values()),
             self.seconds,
             {"start": start, **self.event_times},
             self.fleet.servers,
--- a/benchmarks/workloads.py
+++ b/benchmarks/workloads.py
@@ -54,10 +54,10 @@
 
     :param document: members of the service document that differ from the defaults.
     """
-    return standins.ServiceShape(
+    return standins.ServiceSpec(
         service.name,
         service.backends,
         service.slots,
         {"deadline_ms": 10_000, "warm_up_ms": 2000, "queue_limit": 2000, **document},
-        mean_service=mean_service_seconds,
+        mean_service_seconds=mean_service_seconds,
     )
--- a/boragegw/cli/_demo.py
+++ b/boragegw/cli/_demo.py
@@ -159,7 +159,7 @@
     """
     fleet.state.publish_recalls([("data-centre", [RECALLED_DATA_CENTRE])])
     published = time.monotonic()
-    await fleet.wait_for(lambda: fleet.in_force(fleet.state.revision))
+    await fleet.wait_for(lambda: fleet.has_applied(fleet.state.revision))
     in_force_after = time.monotonic() - published
     await asyncio.sleep(
         max(0.0, min(RECALL_GRACE_SECONDS, length / 2) - in_force_after)
--- a/boragegw/cli/_platform.py
+++ b/boragegw/cli/_platform.py
@@ -61,4 +61,4 @@
             state.vms = {row["name"]: row for row in data["vms"]}
             # touch_vms() increments the version.
             state.version = data["version"] - 1
-            state.touch_vms()
+            state.bump_vms_version()
