--- a/boragegw/balancing/__init__.py
+++ b/boragegw/balancing/__init__.py
@@ -3,17 +3,17 @@
 The classes do no input or output. Time and randomness are arguments.
 """
 
-from boragegw.balancing._asking import (
+from boragegw.balancing._budget import ProbeBudget, RetryBudget, SlidingWindowCounter
+from boragegw.balancing._hedging import LatencyHedgePolicy
+from boragegw.balancing._policies import DISABLING_PARAMETERS, POLICIES, PolicySettings
+from boragegw.balancing._priorities import PriorityDistribution, WaitingCounts
+from boragegw.balancing._probing import (
     ProbingPolicy,
     ScoredServer,
     available_servers,
     eligible_servers,
     expected_latency,
 )
-from boragegw.balancing._budget import ProbeBudget, RetryBudget, SlidingWindowCounter
-from boragegw.balancing._hedging import LatencyHedgePolicy
-from boragegw.balancing._policies import DISABLING_PARAMETERS, POLICIES, PolicySettings
-from boragegw.balancing._priorities import PriorityDistribution, WaitingCounts
 from boragegw.balancing._quarantine import QuarantinePolicy
 from boragegw.balancing._routing import (
     CallerLimits,
@@ -35,7 +35,7 @@
 )
 from boragegw.balancing._shedding import Saturation, SheddingPolicy
 from boragegw.balancing._slowness import SlownessEstimator
-from boragegw.balancing._warming import WarmupPolicy
+from boragegw.balancing._warmup import WarmupPolicy
 
 __all__ = [
     "DISABLING_PARAMETERS",
--- a/boragegw/balancing/_policies.py
+++ b/boragegw/balancing/_policies.py
@@ -2,22 +2,22 @@
 
 from boragegw import utils
 from boragegw.balancing import (
-    _asking,
     _hedging,
     _priorities,
+    _probing,
     _shedding,
     _slowness,
-    _warming,
+    _warmup,
 )
 
 #: Policies with configurable parameters, by their name in the settings.
 POLICIES = {
-    "asking": _asking.ProbingPolicy,
+    "asking": _probing.ProbingPolicy,
     "hedging": _hedging.LatencyHedgePolicy,
     "pace": _slowness.SlownessEstimator,
     "ranks": _priorities.PriorityDistribution,
     "shedding": _shedding.SheddingPolicy,
-    "warmup": _warming.WarmupPolicy,
+    "warmup": _warmup.WarmupPolicy,
 }
 #: Parameters that disable a mechanism, by policy and name, for each mechanism.
 DISABLING_PARAMETERS = {
--- a/boragegw/gateway/_catalogue.py
+++ b/boragegw/gateway/_catalogue.py
@@ -9,10 +9,10 @@
 
 from boragegw import utils
 from boragegw.gateway import (
+    _change_history,
     _compression,
-    _history,
-    _reports,
     _server_registry,
+    _server_reports,
     _sources,
 )
 
@@ -41,7 +41,7 @@
         self._previous = {}
         self._retained = {}
         self._miss_counts = utils.BoundedDict(MAX_MISS_COUNTS)
-        self._history = _history.ChangeHistory(log)
+        self._history = _change_history.ChangeHistory(log)
         self._registry = _server_registry.ServerRegistry(
             board,
             now=now,
@@ -209,7 +209,7 @@
             listing = self.decoder.decode_server(record)
             if listing is None:
                 continue
-            if self._registry.merge_retained(_reports.Report(record, listing)):
+            if self._registry.merge_retained(_server_reports.Report(record, listing)):
                 merged += 1
                 self._replace_by_retained(record)
         return merged
--- a/boragegw/gateway/_follower.py
+++ b/boragegw/gateway/_follower.py
@@ -5,7 +5,7 @@
 
 from boragegw.gateway import (
     _hedged_read,
-    _source_selection,
+    _source_selector,
     _source_timeout,
     _sources,
 )
@@ -74,7 +74,7 @@
         self.random_state = random_state
         self.log = log
         self.first_start = first_start
-        self._selector = _source_selection.SourceSelector(
+        self._selector = _source_selector.SourceSelector(
             catalogue, membership, now=now, random_state=random_state
         )
         self._hedged_read = None
--- a/boragegw/gateway/_server_registry.py
+++ b/boragegw/gateway/_server_registry.py
@@ -1,7 +1,7 @@
 """Registry of backend servers that the platform lists: added, updated and removed."""
 
 from boragegw import balancing
-from boragegw.gateway import _reports, _sources
+from boragegw.gateway import _server_reports, _sources
 
 
 class ServerRegistry:
@@ -22,7 +22,7 @@
         self.on_addresses_gone = on_addresses_gone
         self.on_joined = on_joined
         self.store_trouble_at = float("-inf")
-        self._reports = _reports.LatestReports()
+        self._reports = _server_reports.LatestReports()
         self._suspects = {}
 
     def apply(self, record, listing, is_first):
@@ -31,7 +31,7 @@
         :param is_first: the entry belongs to the first read.
         """
         self._suspects.pop(record.key, None)
-        report = self._reports.merge(_reports.Report(record, listing))
+        report = self._reports.merge(_server_reports.Report(record, listing))
         if report.listing is not listing:
             self._log_older(record, listing, report.listing)
         self._publish(report, is_first)
--- a/boragegw/platform/__init__.py
+++ b/boragegw/platform/__init__.py
@@ -1,7 +1,7 @@
 """Adapter for the users' platform: settings, store client, wire names, endpoints."""
 
 from boragegw.platform._dialect import PlatformDialect
-from boragegw.platform._documents import DocumentDecoder
+from boragegw.platform._document_decoder import DocumentDecoder
 from boragegw.platform._endpoints import Endpoints
 from boragegw.platform._process import (
     PlatformProcess,
@@ -14,7 +14,7 @@
     is_settings_file,
     load_settings,
 )
-from boragegw.platform._store import StoreClient
+from boragegw.platform._store_client import StoreClient
 
 __all__ = [
     "DocumentDecoder",
--- a/boragegw/platform/_dialect.py
+++ b/boragegw/platform/_dialect.py
@@ -1,7 +1,7 @@
 """Formats requests and interprets responses as the platform defines them."""
 
 from boragegw import balancing, gateway
-from boragegw.platform import _names
+from boragegw.platform import _wire_names
 
 #: Hop-by-hop headers and headers that this process sets itself.
 HEADERS_NOT_FORWARDED = frozenset(
@@ -17,8 +17,8 @@
         b"upgrade",
         b"expect",
         b"content-length",
-        _names.DEADLINE_MS,
-        _names.EXPECTED_INSTANCE,
+        _wire_names.DEADLINE_MS,
+        _wire_names.EXPECTED_INSTANCE,
     )
 )
 MISDIRECTED_REQUEST = 421
@@ -39,11 +39,11 @@
 
     def request_id(self, headers):
         """Return the request ID as bytes, empty if the header is missing."""
-        return _header_value(headers, _names.REQUEST_ID) or b""
+        return _header_value(headers, _wire_names.REQUEST_ID) or b""
 
     def caller_timeout(self, headers):
         """Return the caller's deadline in seconds, or ``None`` if it set none."""
-        value = _header_value(headers, _names.DEADLINE_MS)
+        value = _header_value(headers, _wire_names.DEADLINE_MS)
         return None if value is None else _parse_milliseconds(value)
 
     def request_head(self, request, server, seconds_left):
@@ -56,8 +56,8 @@
             if name not in HEADERS_NOT_FORWARDED and name not in connection_options
         ]
         milliseconds = max(1, int(seconds_left * 1000))
-        lines.append(_names.DEADLINE_MS + b": %d" % milliseconds)
-        lines.append(_names.EXPECTED_INSTANCE + b": " + server.identity.encode())
+        lines.append(_wire_names.DEADLINE_MS + b": %d" % milliseconds)
+        lines.append(_wire_names.EXPECTED_INSTANCE + b": " + server.identity.encode())
         if request.body or request.method not in (b"GET", b"HEAD", b"DELETE"):
             lines.append(b"content-length: %d" % len(request.body))
         return b"\r\n".join(lines) + b"\r\n\r\n"
@@ -75,20 +75,20 @@
         """
         headers = answer.headers
         return _header_value(
-            headers, _names.SERVER_SIGNATURE
-        ) is None and not _header_value(headers, _names.REQUEST_ID)
+            headers, _wire_names.SERVER_SIGNATURE
+        ) is None and not _header_value(headers, _wire_names.REQUEST_ID)
 
     def is_response_to(self, answer, request_id):
         """Return whether ``answer`` is the response to the request ``request_id``."""
-        echoed = _header_value(answer.headers, _names.REQUEST_ID)
+        echoed = _header_value(answer.headers, _wire_names.REQUEST_ID)
         if echoed is not None:
             return echoed == request_id
         return not 200 <= answer.status < 300
 
     def parse_health(self, answer, now):
         """Parse a probe response into a :class:`~boragegw.gateway.HealthResponse`."""
-        identity = _header_value(answer.headers, _names.INSTANCE_ID)
-        warm_up = _header_value(answer.headers, _names.WARM_UP_MS)
+        identity = _header_value(answer.headers, _wire_names.INSTANCE_ID)
+        warm_up = _header_value(answer.headers, _wire_names.WARM_UP_MS)
         return gateway.HealthResponse(
             healthy=answer.status == 200,
             identity="" if identity is None else identity.decode("latin-1"),
@@ -98,7 +98,7 @@
 
     def parse_load_report(self, answer, now):
         """Return the load report of any response, or ``None``."""
-        value = _header_value(answer.headers, _names.LOAD_REPORT)
+        value = _header_value(answer.headers, _wire_names.LOAD_REPORT)
         if value is None:
             return None
         parts = value.split(b",")
@@ -114,7 +114,7 @@
     def is_not_executed(self, answer):
         """Return whether the backend server reports that it did not execute it."""
         return answer.status == MISDIRECTED_REQUEST or (
-            _header_value(answer.headers, _names.NOT_EXECUTED) is not None
+            _header_value(answer.headers, _wire_names.NOT_EXECUTED) is not None
         )
 
     def is_misdirected(self, answer):
@@ -123,7 +123,7 @@
 
     def is_authentic(self, answer):
         """Return whether a backend server generated the response."""
-        return _header_value(answer.headers, _names.SERVER_SIGNATURE) is not None
+        return _header_value(answer.headers, _wire_names.SERVER_SIGNATURE) is not None
 
     def error_response(self, status, request_id, retry_after=None, close=False):
         """Return the bytes of an error response of this process."""
--- a/boragegw/platform/_documents.py
+++ b/boragegw/platform/_document_decoder.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from boragegw import balancing, gateway
-from boragegw.platform import _names, _records
+from boragegw.platform import _schemas, _wire_names
 
 #: An ``upload`` has a large body and is executed at most once.
 ROUTE_KINDS = {
@@ -23,24 +23,26 @@
 
     def __init__(self, log):
         self.log = log
-        self._server = msgspec.json.Decoder(_records.WireServer)
-        self._configuration = msgspec.json.Decoder(_records.WireConfiguration)
-        self._part_decoder = _records.LenientDecoder(log)
+        self._server = msgspec.json.Decoder(_schemas.WireServer)
+        self._configuration = msgspec.json.Decoder(_schemas.WireConfiguration)
+        self._part_decoder = _schemas.LenientDecoder(log)
 
     def decode_server(self, record):
         """Return the listing of a backend server in a record, or ``None``."""
-        if not record.key.startswith(_names.SERVERS_PREFIX):
+        if not record.key.startswith(_wire_names.SERVERS_PREFIX):
             return None
         try:
             wire = self._server.decode(record.value)
-            return _to_listing(record.key.removeprefix(_names.SERVERS_PREFIX), wire)
+            return _to_listing(
+                record.key.removeprefix(_wire_names.SERVERS_PREFIX), wire
+            )
         except (msgspec.DecodeError, ValueError) as error:
             self.log.event("foreign-entry", key=record.key, reason=str(error))
             return None
 
     def decode_configuration(self, record):
         """Return the configuration in a record, or ``None`` if there is none."""
-        if record.key != _names.CONFIGURATION_KEY:
+        if record.key != _wire_names.CONFIGURATION_KEY:
             return None
         try:
             return self._to_configuration(self._configuration.decode(record.value))
@@ -50,16 +52,16 @@
 
     def decode_evacuation(self, record):
         """Return the data centre that the record evacuates, or ``None``."""
-        if not record.key.startswith(_names.EVACUATION_PREFIX):
+        if not record.key.startswith(_wire_names.EVACUATION_PREFIX):
             return None
-        return record.key.removeprefix(_names.EVACUATION_PREFIX)
+        return record.key.removeprefix(_wire_names.EVACUATION_PREFIX)
 
     def _to_configuration(self, wire):
         decode = self._part_decoder.decode
         version = _parse_version(wire.version)
-        services = [decode(_records.WireService, raw) for raw in wire.services]
-        routes = [decode(_records.WireRoute, raw) for raw in wire.routes]
-        limits = decode(_records.WireLimits, wire.limits) or _records.WireLimits()
+        services = [decode(_schemas.WireService, raw) for raw in wire.services]
+        routes = [decode(_schemas.WireRoute, raw) for raw in wire.routes]
+        limits = decode(_schemas.WireLimits, wire.limits) or _schemas.WireLimits()
         return balancing.Configuration(
             version=version,
             routes=balancing.RouteTable(self._to_route(r) for r in routes if r),
--- a/boragegw/platform/_process.py
+++ b/boragegw/platform/_process.py
@@ -7,7 +7,13 @@
 import sys
 
 from boragegw import errors, gateway
-from boragegw.platform import _dialect, _documents, _endpoints, _settings, _store
+from boragegw.platform import (
+    _dialect,
+    _document_decoder,
+    _endpoints,
+    _settings,
+    _store_client,
+)
 
 #: Interval at which the settings file is polled; it may change without a SIGHUP.
 SETTINGS_POLL_SECONDS = 2.0
@@ -25,8 +31,8 @@
     return gateway.Gateway(
         settings.gateway,
         _dialect.PlatformDialect(),
-        _documents.DocumentDecoder(log),
-        _store.StoreClient(settings.store, now, board.counters, log),
+        _document_decoder.DocumentDecoder(log),
+        _store_client.StoreClient(settings.store, now, board.counters, log),
         board=board,
         log=log,
         now=now,
--- a/boragegw/platform/tests/test_delayed_reports.py
+++ b/boragegw/platform/tests/test_delayed_reports.py
@@ -7,7 +7,7 @@
 
 from boragegw import gateway, standins
 from boragegw.gateway.tests import test_catalogue
-from boragegw.platform import _documents
+from boragegw.platform import _document_decoder
 
 in_memory = standins.in_memory
 
@@ -186,7 +186,7 @@
 def test_retained_draining_report_of_a_missing_server_is_adopted(after_store_failure):
     """The older report replaced the one retained while the entry was missing."""
     source = test_catalogue.catalogue(
-        _documents.DocumentDecoder(test_catalogue.EventRecorder())
+        _document_decoder.DocumentDecoder(test_catalogue.EventRecorder())
     )
     source.apply_snapshot(gateway.ReadResult([server_record(7, "ready", 1)], 1))
     if after_store_failure:
--- a/boragegw/platform/tests/test_documents.py
+++ b/boragegw/platform/tests/test_documents.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies
 
 from boragegw import balancing, gateway, standins
-from boragegw.platform import _documents, _records
+from boragegw.platform import _document_decoder, _schemas
 
 in_memory = standins.in_memory
 
@@ -64,7 +64,7 @@
 def decode(document):
     """Return the configuration in ``document``, or ``None``, and the events' kinds."""
     recorder = EventRecorder()
-    decoder = _documents.DocumentDecoder(recorder)
+    decoder = _document_decoder.DocumentDecoder(recorder)
     value = json.dumps(document).encode()
     record = gateway.Record("op/config", value, 1)
     return decoder.decode_configuration(record), recorder.kinds
@@ -213,7 +213,7 @@
     """Decoding thousands of routes field by field would block all requests."""
     by_field = []
     monkeypatch.setattr(
-        _records.LenientDecoder, "_decode_by_field", lambda *part: by_field.append(part)
+        _schemas.LenientDecoder, "_decode_by_field", lambda *part: by_field.append(part)
     )
     configuration, recorder = decode(DOCUMENT)
     assert len(configuration.routes) == len(DOCUMENT["routes"])
