--- a/benchmarks/_rollout_replica.py
+++ b/benchmarks/_rollout_replica.py
@@ -58,7 +58,7 @@
         self.number = number
         self.delay = delay
         self.board = board
-        self.own = gossip.members[number]
+        self.local_member = gossip.members[number]
 
     def alive(self):
         """Return the member of each other process."""
@@ -167,7 +167,7 @@
         self.board = gateway.Blackboard()
         delay = random_state.uniform(*GOSSIP_DELAY)
         self.membership = Membership(fleet.gossip, number, delay, self.board)
-        self.own = self.membership.own
+        self.own = self.membership.local_member
         self.bytes_sent = 0
         self._random_state = random_state
         self._decoding = False
--- a/boragegw/gateway/_follower.py
+++ b/boragegw/gateway/_follower.py
@@ -51,7 +51,7 @@
 
     :param store: the platform's store, a :class:`Source`.
     :param peer_source: function from a peer's address to a :class:`Source`.
-    :param first_start: the whole system starts for the first time, without callers.
+    :param bootstrap: the whole system starts for the first time, without callers.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         now,
         random_state,
         log,
-        first_start=False,
+        bootstrap=False,
     ):
         self.catalogue = catalogue
         self.membership = membership
@@ -73,7 +73,7 @@
         self.now = now
         self.random_state = random_state
         self.log = log
-        self.first_start = first_start
+        self.bootstrap = bootstrap
         self._selector = _source_selector.SourceSelector(
             catalogue, membership, now=now, random_state=random_state
         )
@@ -94,7 +94,7 @@
 
     async def run(self):
         """Read and watch forever."""
-        if self.first_start:
+        if self.bootstrap:
             await self._wait_for_discovery()
         while True:
             name = self._next_source()
@@ -212,7 +212,7 @@
         return await self._hedged_read.first_result()
 
     def _publish_revision(self):
-        self.membership.own.revision = self.catalogue.revision
+        self.membership.local_member.revision = self.catalogue.revision
         self._publish_lag(self.now())
 
     def _handle_success(self, name):
@@ -221,7 +221,7 @@
         if name is not None:
             return
         self._store_failures = 0
-        own = self.membership.own
+        own = self.membership.local_member
         if not own.reads_store:
             own.reads_store = True
             own.watches_store = True
@@ -267,7 +267,7 @@
                 FIRST_RETRY_SECONDS * (0.5 + 0.5 * self.random_state.random())
             )
             return
-        own = self.membership.own
+        own = self.membership.local_member
         self.catalogue.store_trouble_at = self.now()
         if own.reads_store:
             own.reads_store = False
@@ -321,7 +321,9 @@
         pending = self._hedged_read.pending
         if len(pending) > 1 or now < self._hedged_at + HEDGE_INTERVAL_SECONDS:
             return
-        if not self._timeout.is_slow(progress, self.membership.own.link_mbps, now):
+        if not self._timeout.is_slow(
+            progress, self.membership.local_member.link_mbps, now
+        ):
             return
         self._hedged_at = now
         if self._source_name is not None:
@@ -347,7 +349,7 @@
             self._cancel_read()
         elif self._source_name is None and self._read_started_at < math.inf:
             # A watch that this process started for itself may serve its peers as well.
-            self.membership.own.watches_store = self._selector.should_watch()
+            self.membership.local_member.watches_store = self._selector.should_watch()
 
     def _progress(self):
         if self._hedged_read is None:
--- a/boragegw/gateway/_gateway.py
+++ b/boragegw/gateway/_gateway.py
@@ -154,7 +154,7 @@
             self.membership,
             store,
             self._peer_source,
-            first_start=settings.bootstrap,
+            bootstrap=settings.bootstrap,
             **randomized,
         )
         self.reconciler = _reconciliation.Reconciler(
--- a/boragegw/gateway/_membership.py
+++ b/boragegw/gateway/_membership.py
@@ -68,15 +68,15 @@
     A process is in sight until :data:`SILENCE_TIMEOUT_SECONDS` have passed without a
     heartbeat from it.
 
-    :param own: this process's :class:`Member`, updated by its owner.
+    :param local_member: this process's :class:`Member`, updated by its owner.
     :param seeds: function that returns the ``(host, port)`` pairs of the seeds.
     :ivar on_crash: called with the fingerprint of each :class:`CrashNotice`.
     :ivar on_change: called after the state of another process may have changed.
     """
 
-    def __init__(self, board, own, seeds, *, now, log, random_state=None):
+    def __init__(self, board, local_member, seeds, *, now, log, random_state=None):
         self.board = board
-        self.own = own
+        self.local_member = local_member
         self.seeds = seeds
         self.now = now
         self.log = log
@@ -101,8 +101,8 @@
     def ready(self):
         """Return the members that accept requests, including this one if it does."""
         members = [m for m in self.alive() if m.life == _peer_messages.Life.READY]
-        if self.own.life == _peer_messages.Life.READY:
-            members.append(self.own)
+        if self.local_member.life == _peer_messages.Life.READY:
+            members.append(self.local_member)
         return members
 
     def latest_revision(self):
@@ -117,10 +117,10 @@
 
     def tick(self):
         """Send a heartbeat; to be called every :data:`HEARTBEAT_INTERVAL_SECONDS`."""
-        self.own.beat += 1
+        self.local_member.beat += 1
         self._expire_silent()
         introduction = self._heartbeat(MAX_GOSSIP_ENTRIES)
-        is_full = self.own.beat % FULL_HEARTBEAT_BEATS == 0
+        is_full = self.local_member.beat % FULL_HEARTBEAT_BEATS == 0
         regular = self._heartbeat(GOSSIP_ENTRIES) if is_full else self._update_batch()
         informed = self._informed_addresses()
         for address in self._targets():
@@ -128,7 +128,7 @@
 
     def announce(self):
         """Send a heartbeat to all processes in sight at once, as on a planned stop."""
-        self.own.beat += 1
+        self.local_member.beat += 1
         beat = self._heartbeat(GOSSIP_ENTRIES)
         for member in self.alive():
             self._send(_split_address(member.peer_address), beat)
@@ -174,7 +174,7 @@
         They pass the update on to the others.
         """
         now = self.now()
-        updates = [_update_of(self.own, 0.0)]
+        updates = [_update_of(self.local_member, 0.0)]
         in_sight = self._in_sight()
         if len(in_sight) > FANOUT:
             chosen = self._sample(in_sight, LARGE_FLEET_UPDATES)
@@ -197,7 +197,9 @@
             for k in chosen
         ]
         wants_reply = not in_sight
-        return self._encode(_peer_messages.Heartbeat(self.own, gossip, wants_reply))
+        return self._encode(
+            _peer_messages.Heartbeat(self.local_member, gossip, wants_reply)
+        )
 
     def _targets(self):
         alive = self.alive()
@@ -209,9 +211,9 @@
         targets = {_split_address(member.peer_address) for member in alive}
         # Seeds are contacted forever: after a partition in which both sides have
         # forgotten each other, only the seeds reconnect them.
-        if not is_large or self.own.beat % LARGE_FLEET_SEED_BEATS == 0:
+        if not is_large or self.local_member.beat % LARGE_FLEET_SEED_BEATS == 0:
             targets.update(self.seeds())
-        targets.discard(_split_address(self.own.peer_address))
+        targets.discard(_split_address(self.local_member.peer_address))
         return targets
 
     def _sample_by_data_centre(self, members):
@@ -219,7 +221,7 @@
         groups = {}
         for member in members:
             groups.setdefault(member.data_centre, []).append(member)
-        near = groups.pop(self.own.data_centre, [])
+        near = groups.pop(self.local_member.data_centre, [])
         chosen = []
         for group in groups.values():
             chosen += self._sample(group, LARGE_FLEET_REMOTE_FANOUT)
@@ -309,7 +311,7 @@
 
         :param direct: the state comes from the process itself and not by gossip.
         """
-        if member.name == self.own.name:
+        if member.name == self.local_member.name:
             return
         known = self._known.get(member.name)
         if known is not None:
--- a/boragegw/gateway/_reconciliation.py
+++ b/boragegw/gateway/_reconciliation.py
@@ -50,7 +50,7 @@
     async def run(self):
         """Publish the own digest and request the reports of others, forever."""
         while True:
-            self.membership.own.retained = digest(self.catalogue.retained)
+            self.membership.local_member.retained = digest(self.catalogue.retained)
             member = self._next_member()
             if member is not None:
                 await self._request_from(member)
@@ -64,7 +64,7 @@
         """
         if self.catalogue.position < 0:
             return None
-        own = self.membership.own
+        own = self.membership.local_member
         now = self.now()
         members = [
             member
--- a/boragegw/gateway/_sender.py
+++ b/boragegw/gateway/_sender.py
@@ -174,7 +174,7 @@
         usual = call.state.hedging.median_latency
         left = call.deadline - self.now()
         return (
-            balancing.expected_latency(selection.rating, usual)
+            balancing.expected_latency(selection.scored_server, usual)
             > SLOW_SERVER_TIME_SHARE * left
         )
 
@@ -200,10 +200,13 @@
         left = call.deadline - now
         if left < MIN_REMAINING_TIME:
             return "no time left"
-        if hedge and not selection.rating.is_acceptable:
+        if hedge and not selection.scored_server.is_acceptable:
             return "no quiet server for a hedge"
         usual = call.state.hedging.median_latency
-        if MIN_WAIT_SHARE * balancing.expected_latency(selection.rating, usual) > left:
+        if (
+            MIN_WAIT_SHARE * balancing.expected_latency(selection.scored_server, usual)
+            > left
+        ):
             return "servers are full"
         return ""
 
@@ -311,7 +314,7 @@
     report = selection.server.report
     return _call.AttemptRecord(
         server=selection.server.identity,
-        cost=round(selection.rating.cost, 2),
+        cost=round(selection.scored_server.cost, 2),
         slowness=round(selection.server.slowness(now), 2),
         load=None if report is None else report.running + report.waiting,
         after=round(now - call.request.arrived, 4),
--- a/boragegw/gateway/_server_selector.py
+++ b/boragegw/gateway/_server_selector.py
@@ -27,16 +27,17 @@
 class Selection:
     """A selected backend server, with the connection on which its probe succeeded.
 
-    :param rating: score of the server, a :class:`~boragegw.balancing.ScoredServer`.
+    :param scored_server: the server with its score, a
+        :class:`~boragegw.balancing.ScoredServer`.
     """
 
-    rating: balancing.ScoredServer
+    scored_server: balancing.ScoredServer
     connection: _upstream.UpstreamConnection
 
     @property
     def server(self):
         """The backend server."""
-        return self.rating.server
+        return self.scored_server.server
 
 
 @dataclasses.dataclass(slots=True)
@@ -158,7 +159,7 @@
             selection = await self._probe(search, server)
             if (
                 selection is not None
-                and selection.rating.has_capacity
+                and selection.scored_server.has_capacity
                 and server.unhealthy_until <= now
             ):
                 return selection
@@ -191,7 +192,9 @@
             probes -= done
             for probe in done:
                 self._classify(probe.result(), replies)
-            if any(selection.rating.is_acceptable for selection in replies.healthy):
+            if any(
+                selection.scored_server.is_acceptable for selection in replies.healthy
+            ):
                 return True
         return False
 
@@ -214,10 +217,12 @@
         candidates fail. It may be shutting down and must then get no more requests.
         """
         available = [
-            selection for selection in replies.healthy if selection.rating.has_capacity
+            selection
+            for selection in replies.healthy
+            if selection.scored_server.has_capacity
         ]
         if available:
-            best = min(available, key=lambda selection: selection.rating.cost)
+            best = min(available, key=lambda selection: selection.scored_server.cost)
             replies.healthy.remove(best)
             return best
         if replies.healthy:
@@ -228,7 +233,9 @@
                 return selection
         now = self.now()
         if replies.unhealthy and all(s.unhealthy_until > now for s in candidates):
-            best = min(replies.unhealthy, key=lambda selection: selection.rating.cost)
+            best = min(
+                replies.unhealthy, key=lambda selection: selection.scored_server.cost
+            )
             replies.unhealthy.remove(best)
             return best
         return None
@@ -353,8 +360,8 @@
             server.cold_until = now + health.cold_for
         if not health.healthy:
             server.unhealthy_until = now + UNHEALTHY_PAUSE
-        rating = self.policy.score(server, now, heavy=search.heavy)
-        return Selection(rating, connection)
+        scored_server = self.policy.score(server, now, heavy=search.heavy)
+        return Selection(scored_server, connection)
 
     async def has_crashed(self, server):
         """Return whether it is proved that nothing listens at the server's address.
--- a/boragegw/gateway/_source_selector.py
+++ b/boragegw/gateway/_source_selector.py
@@ -36,7 +36,7 @@
     def select_source(self):
         """Return the source to read from, and publish whether it is the store."""
         watching = self.should_watch()
-        self.membership.own.watches_store = watching
+        self.membership.local_member.watches_store = watching
         return None if watching else self.select_peer()
 
     def select_peer(self):
@@ -45,7 +45,7 @@
 
     def select_peer_ahead(self):
         """Return the name of a process that is ahead of this one, or ``None``."""
-        own = self.membership.own
+        own = self.membership.local_member
         position = self.catalogue.position
         ahead = [m for m in self._candidates() if m.revision > position]
         local = [m for m in ahead if m.data_centre == own.data_centre]
@@ -59,7 +59,7 @@
 
     def should_probe_store(self):
         """Return whether this process probes the store while no process can read it."""
-        return self.membership.own.name in self._store_probers()
+        return self.membership.local_member.name in self._store_probers()
 
     def should_watch(self):
         """Return whether this process should watch the store for its data centre.
@@ -69,7 +69,7 @@
         """
         if self._bootstraps_from_peer():
             return False
-        own = self.membership.own
+        own = self.membership.local_member
         if own.reads_store:
             return own.name in self._store_watchers()
         return self.best_peer() is None and own.name in self._store_probers()
@@ -89,12 +89,12 @@
         Guards against a fleet of two versions, as during a rolling update: processes of
         one version would query those of the other in vain, and then the store.
         """
-        own = self.membership.own.replica_format
+        own = self.membership.local_member.replica_format
         return [m for m in self.membership.alive() if m.replica_format == own]
 
     def _first_of_each(self, members):
         staying = [m for m in members if m.life != _peer_messages.Life.LEAVING]
-        own = self.membership.own
+        own = self.membership.local_member
         if own.life != _peer_messages.Life.LEAVING:
             staying.append(own)
         groups = {}
@@ -110,7 +110,7 @@
 
     def best_peer(self):
         """Return the name of the process to follow, or ``None`` if none can be."""
-        own = self.membership.own
+        own = self.membership.local_member
         candidates = self._candidates()
         local = [m for m in candidates if m.data_centre == own.data_centre]
         source = _replication_tree.source_for(own, local)
@@ -155,7 +155,7 @@
             return False
         if not any(_replication_tree.is_root(member) for member in members.values()):
             return False
-        return _replication_tree.may_follow(self.membership.own, members[name])
+        return _replication_tree.may_follow(self.membership.local_member, members[name])
 
     def should_switch(self, name):
         """Return whether to switch from ``name`` to the store, or from it to a peer."""
--- a/boragegw/gateway/tests/test_membership.py
+++ b/boragegw/gateway/tests/test_membership.py
@@ -114,7 +114,7 @@
         network.add(f"p{number}")
     network.run(2.0)
     leaving = network.processes["p1"]
-    leaving.own.life = gateway.Life.LEAVING
+    leaving.local_member.life = gateway.Life.LEAVING
     leaving.announce()
     network.deliver()
     assert "p1" not in [m.name for m in network.processes["p2"].ready()]
@@ -132,7 +132,8 @@
     network.add("p2", incarnation=2)
     network.run(1.0)
     stale = _peer_messages.Heartbeat(
-        network.processes["p1"].own, [_peer_messages.GossipedMember(old.own, 0.9)]
+        network.processes["p1"].local_member,
+        [_peer_messages.GossipedMember(old.local_member, 0.9)],
     )
     network.processes["p3"].datagram_received(msgspec.msgpack.encode(stale), ("p1", 2))
     (known,) = [m for m in network.processes["p3"].alive() if m.name == "p2"]
@@ -224,7 +225,9 @@
     network.run(6.0)
     sent = []
     for process in network.processes.values():
-        process.connection_made(CountingTransport(network, process.own.name, sent))
+        process.connection_made(
+            CountingTransport(network, process.local_member.name, sent)
+        )
     network.run(10.0)
     assert sum(sent) / 10.0 < 16_000
 
@@ -249,8 +252,8 @@
         network.add(f"p{number}")
     network.run(6.0)
     for beat in range(4):
-        network.processes["p1"].own.revision = 40 + beat
-        network.processes["p1"].own.reads_store = beat % 2 == 0
+        network.processes["p1"].local_member.revision = 40 + beat
+        network.processes["p1"].local_member.reads_store = beat % 2 == 0
         network.run(0.5)
         (seen,) = (m for m in network.processes["p2"].alive() if m.name == "p1")
         assert (seen.revision, seen.reads_store) == (40 + beat, beat % 2 == 0)
@@ -277,7 +280,9 @@
     sent = []
     for turn in range(8):
         for process in network.processes.values():
-            process.connection_made(CountingTransport(network, process.own.name, sent))
+            process.connection_made(
+                CountingTransport(network, process.local_member.name, sent)
+            )
         network.add(f"p{turn}", incarnation=2)
         network.run(2.0)
     assert sum(sent) / 16.0 < 35_000
@@ -300,7 +305,9 @@
     network.run(6.0)
     sent = []
     for process in network.processes.values():
-        process.connection_made(CountingTransport(network, process.own.name, sent))
+        process.connection_made(
+            CountingTransport(network, process.local_member.name, sent)
+        )
     lost = 0
     for _ in range(20):
         network.run(0.5)
@@ -343,8 +350,8 @@
 
 class CrossingTransport(Transport):
     def __init__(self, network, process, sent, across):
-        super().__init__(network, process.own.name)
-        self.data_centre = process.own.data_centre
+        super().__init__(network, process.local_member.name)
+        self.data_centre = process.local_member.data_centre
         self.sent = sent
         self.across = across
 
@@ -352,7 +359,7 @@
         size = len(data) + DATAGRAM_HEADER_BYTES
         self.sent.append(size)
         target = self.network.processes.get(address[0])
-        if target is not None and target.own.data_centre != self.data_centre:
+        if target is not None and target.local_member.data_centre != self.data_centre:
             self.across.append(size)
         super().sendto(data, address)
 
--- a/boragegw/operations/tests/test_observation.py
+++ b/boragegw/operations/tests/test_observation.py
@@ -91,7 +91,7 @@
     async def scenario(fleet):
         for name, process in fleet.entries.items():
             tracer = operations.make_tracer(str(tmp_path / name), 1.0, name)
-            for part in (process.node.carrier, process.node.executor):
+            for part in (process.node.router, process.node.executor):
                 part.tracer = tracer
             process.node.tracer = tracer
         caller = fleet.caller("c")
--- a/boragegw/server/_node.py
+++ b/boragegw/server/_node.py
@@ -55,7 +55,7 @@
     table_limit: int = 100_000
     stored_response_limit: int = 65_536
     stored_bytes_limit: int = 32 << 20
-    request_limit: int = 5000
+    max_in_flight: int = 5000
     header_bytes: int = 32_768
     keep_for: float = 2.0
     leave_grace: float = 3.0
@@ -193,7 +193,7 @@
             self.tasks,
             self.tracer,
         )
-        self.home = entry.AtMostOnceExecutor(
+        self.at_most_once_executor = entry.AtMostOnceExecutor(
             self.board,
             self.clock,
             self.keys,
@@ -201,15 +201,15 @@
             self.executions,
             parameters.stored_response_limit,
         )
-        self.carrier = entry.RequestRouter(
+        self.router = entry.RequestRouter(
             self.board,
             self.clock,
-            self.home,
+            self.at_most_once_executor,
             self.executor,
             self.leases,
             self.membership,
             self.network,
-            parameters.request_limit,
+            parameters.max_in_flight,
             self.tracer,
         )
         self.directory = entry.EntryDirectory(
--- a/boragegw/server/_peer_application.py
+++ b/boragegw/server/_peer_application.py
@@ -93,7 +93,7 @@
             retries_left=left,
             trace=messages.find_header(scope["headers"], messages.TRACEPARENT_HEADER),
         )
-        response = await self.node.carrier.handle_forwarded(incarnation, request)
+        response = await self.node.router.handle_forwarded(incarnation, request)
         if response is None:
             await _reply(send, 421)
             return
--- a/boragegw/server/_process.py
+++ b/boragegw/server/_process.py
@@ -36,7 +36,7 @@
         table_limit=settings.leases.table_limit,
         stored_response_limit=settings.leases.stored_answer_limit,
         stored_bytes_limit=settings.leases.stored_bytes_limit,
-        request_limit=settings.limits.requests,
+        max_in_flight=settings.limits.requests,
         header_bytes=settings.limits.header_bytes,
         shutdown_timeout=settings.limits.shutdown_timeout,
         seeds=tuple(settings.peers.seeds),
@@ -108,7 +108,7 @@
         caller = entry.CallerApplication(
             node.board,
             node.clock,
-            node.carrier,
+            node.router,
             node.directory,
             self.parameters.header_bytes,
         )
--- a/boragegw/standins/_virtual_fleet.py
+++ b/boragegw/standins/_virtual_fleet.py
@@ -263,7 +263,7 @@
     lifecycle = node.board.lifecycle
     lifecycle.in_flight += 1
     try:
-        answer = await node.carrier.handle(request)
+        answer = await node.router.handle(request)
         try:
             return answer, await answer.read()
         finally:
--- a/boragegw/standins/_virtual_network.py
+++ b/boragegw/standins/_virtual_network.py
@@ -137,7 +137,7 @@
     async def _carried(self, node, address, incarnation, request):
         """Return the answer, unless the peer or the way to it goes away meanwhile."""
         task = self.world.start_incoming(
-            address, node.carrier.handle_forwarded(incarnation, request)
+            address, node.router.handle_forwarded(incarnation, request)
         )
         while not task.done():
             await asyncio.wait([task], timeout=0.05)
