--- a/benchmarks/_rollout_replica.py
+++ b/benchmarks/_rollout_replica.py
@@ -206,7 +206,7 @@
             await asyncio.sleep(self.fleet.check_interval)
 
     async def _answer(self, request):
-        reply = await self._server.answer(request)
+        reply = await self._server.handle(request)
         self.bytes_sent += len(reply.body)
         return reply
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -212,7 +212,7 @@
             record.fingerprint = i.to_bytes(16, "big")
             headers = ((b"content-type", b"text/plain"),)
             body = bytes([i & 255]) * 200
-            table.finish(record, decisions.StoredAnswer(200, headers, body))
+            table.finish(record, decisions.StoredResponse(200, headers, body))
         return table
 
     for count in (1000, 2000, 4000, 8000):
--- a/boragegw/decisions/__init__.py
+++ b/boragegw/decisions/__init__.py
@@ -16,7 +16,7 @@
     KeyRecord,
     KeyTable,
     SealedTable,
-    StoredAnswer,
+    StoredResponse,
 )
 from boragegw.decisions._leases import Lease, LeaseAuthority, split_key
 from boragegw.decisions._membership import MembershipPolicy
@@ -61,7 +61,7 @@
     "RoundRobin",
     "SealedTable",
     "SlowStartPolicy",
-    "StoredAnswer",
+    "StoredResponse",
     "SubsetPolicy",
     "admissible",
     "is_admissible",
--- a/boragegw/decisions/_idempotency.py
+++ b/boragegw/decisions/_idempotency.py
@@ -25,8 +25,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoredAnswer:
-    """A complete answer that is kept for later requests with the same key.
+class StoredResponse:
+    """A complete response that is kept for later requests with the same key.
 
     :param headers: pairs of name and value in bytes.
     """
@@ -43,7 +43,7 @@
     :param lease_expires: expiry of the lease in seconds of the wall clock. The record
         is kept for the retention time after it.
     :param fingerprint: digest of the request, set once its body has been read.
-    :param outcome: a :class:`StoredAnswer` or a ``RequestError`` once finished.
+    :param outcome: a :class:`StoredResponse` or a ``RequestError`` once finished.
     :param execution: the running execution, which later requests with the key join.
     """
 
@@ -116,7 +116,7 @@
     :param limit: maximum number of records. No unexpired record is evicted for a new
         one.
     :param retention: seconds for which a record is kept after its lease expires.
-    :param stored_bytes: maximum total size of the stored answers in bytes.
+    :param stored_bytes: maximum total size of the stored responses in bytes.
     """
 
     _parameter_constraints = {
@@ -220,12 +220,12 @@
     def finish(self, record, outcome):
         """Record the final outcome of a key.
 
-        An answer that exceeds the limit of stored bytes is not kept. Later requests
+        A response that exceeds the limit of stored bytes is not kept. Later requests
         with the key are told that the request ran.
 
-        :param outcome: a :class:`StoredAnswer` or a ``RequestError``.
+        :param outcome: a :class:`StoredResponse` or a ``RequestError``.
         """
-        if isinstance(outcome, StoredAnswer):
+        if isinstance(outcome, StoredResponse):
             if self._stored + len(outcome.body) > self.stored_bytes:
                 outcome = errors.RequestError(
                     errors.Code.ANSWER_NOT_KEPT,
@@ -253,7 +253,7 @@
             expired = record.lease_expires + self.retention <= wall
             if expired and record.outcome is not None:
                 del self._records[key]
-                if isinstance(record.outcome, StoredAnswer):
+                if isinstance(record.outcome, StoredResponse):
                     self._stored -= len(record.outcome.body)
                 self._watermark = max(self._watermark, record.lease_expires)
 
--- a/boragegw/decisions/tests/test_idempotency.py
+++ b/boragegw/decisions/tests/test_idempotency.py
@@ -13,7 +13,7 @@
 
 
 def finish(table, admission, outcome=None):
-    stored = decisions.StoredAnswer(200, (), b"done")
+    stored = decisions.StoredResponse(200, (), b"done")
     table.finish(admission.record, outcome or stored)
 
 
--- a/boragegw/entry/_at_most_once.py
+++ b/boragegw/entry/_at_most_once.py
@@ -142,7 +142,9 @@
                 )
         headers = [h for h in response.headers if h[0] != b"content-length"]
         headers.append((b"content-length", str(len(buffered)).encode()))
-        return decisions.StoredAnswer(response.status, tuple(headers), bytes(buffered))
+        return decisions.StoredResponse(
+            response.status, tuple(headers), bytes(buffered)
+        )
 
     @staticmethod
     async def _stream_response(execution, response, buffered):
--- a/boragegw/gateway/_replication.py
+++ b/boragegw/gateway/_replication.py
@@ -22,8 +22,8 @@
 MIN_WAIT_SECONDS = 0.001
 #: Maximum size of a record in bytes.
 MAX_VALUE_BYTES = 16 << 20
-#: Maximum number of cached replies, one for each position of followers.
-MAX_CACHED_REPLIES = 16
+#: Maximum number of cached responses, one for each position of followers.
+MAX_CACHED_RESPONSES = 16
 #: HTTP status of a watch whose changes are no longer available.
 HISTORY_LOST_STATUS = 410
 
@@ -76,10 +76,10 @@
         self.now = now
         self.incarnation = incarnation
         self._encode = msgspec.msgpack.Encoder().encode
-        self._cached_replies = {}
+        self._cached_responses = {}
         self._cached_generation = None
 
-    async def answer(self, request):
+    async def handle(self, request):
         """Return the :class:`~boragegw.gateway.EndpointResponse` to a request."""
         path = _endpoint.path_of(request)
         if path == RECORDS:
@@ -87,13 +87,13 @@
         if path == CHANGES:
             return await self._changes(_endpoint.query_of(request))
         if path == RETAINED:
-            return self._reply(map(_full_change, self.catalogue.retained))
+            return self._endpoint_response(map(_full_change, self.catalogue.retained))
         return _endpoint.EndpointResponse(404)
 
     def _records(self):
         if self.catalogue.position < 0:
             return _endpoint.EndpointResponse(503)
-        return self._cached_reply(None)
+        return self._cached_response(None)
 
     async def _changes(self, query):
         after = int(query.get("after", "0"))
@@ -101,12 +101,12 @@
         end = self.now() + int(query.get("wait_ms", "0")) / 1000.0
         while True:
             try:
-                reply = self._cached_reply(after, misses)
+                response = self._cached_response(after, misses)
             except _sources.HistoryLostError:
                 return _endpoint.EndpointResponse(HISTORY_LOST_STATUS)
             remaining = end - self.now()
             if self.catalogue.revision > after or remaining < MIN_WAIT_SECONDS:
-                return reply
+                return response
             await self.catalogue.wait_for_change(remaining)
 
     def _known_misses(self, query):
@@ -114,19 +114,19 @@
         incarnation = int(query.get("incarnation", self.incarnation))
         return int(query.get("misses", "0")) if incarnation == self.incarnation else 0
 
-    def _cached_reply(self, after, misses=None):
-        """Return the reply with the changes after ``after``, or with all records."""
+    def _cached_response(self, after, misses=None):
+        """Return the response with the changes after ``after``, or with all records."""
         if self.catalogue.generation != self._cached_generation:
-            self._cached_replies.clear()
+            self._cached_responses.clear()
             self._cached_generation = self.catalogue.generation
         key = after, misses
-        if key not in self._cached_replies:
-            if len(self._cached_replies) >= MAX_CACHED_REPLIES:
-                self._cached_replies.clear()
-            self._cached_replies[key] = self._make_reply(after, misses)
-        return self._cached_replies[key]
+        if key not in self._cached_responses:
+            if len(self._cached_responses) >= MAX_CACHED_RESPONSES:
+                self._cached_responses.clear()
+            self._cached_responses[key] = self._build_response(after, misses)
+        return self._cached_responses[key]
 
-    def _make_reply(self, after, misses):
+    def _build_response(self, after, misses):
         if after is None:
             result = self.catalogue.snapshot()
             changes = map(_full_change, result.records)
@@ -134,9 +134,9 @@
             result = self.catalogue.changes(after, misses)
             changes = (self._change(record, after) for record in result.records)
         position = max(after or 0, result.position)
-        return self._reply(changes, position, result.consistent)
+        return self._endpoint_response(changes, position, result.consistent)
 
-    def _reply(self, changes, position=0, consistent=False):
+    def _endpoint_response(self, changes, position=0, consistent=False):
         misses = self.catalogue.misses
         replica = ReplicaResponse(
             list(changes), position, misses, self.incarnation, consistent
--- a/boragegw/gateway/_server_selector.py
+++ b/boragegw/gateway/_server_selector.py
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _ProbeReplies:
+class _ProbeResults:
     """Selections by server: healthy and warm, healthy and cold, or unhealthy."""
 
     healthy: list = dataclasses.field(default_factory=list)
@@ -112,7 +112,7 @@
         candidates = balancing.available_servers(
             servers, now=now, evacuated=self.board.evacuated, excluded=search.tried
         )
-        replies = _ProbeReplies()
+        results = _ProbeResults()
         probes = set()
         waves = self.policy.waves(
             candidates,
@@ -130,13 +130,13 @@
                 state.probe_budget.take(len(wave))
                 search.probed += len(wave)
                 probes |= {self._start(search, server) for server in wave}
-                if await self._collect(probes, replies, WAVE_TIMEOUT):
+                if await self._collect(probes, results, WAVE_TIMEOUT):
                     break
                 if self.now() >= search.deadline:
                     break
-            if not replies.healthy and probes:
-                await self._collect(probes, replies, PROBE_TIMEOUT)
-            selection = self._choose(search.service, replies, candidates)
+            if not results.healthy and probes:
+                await self._collect(probes, results, PROBE_TIMEOUT)
+            selection = self._choose(search.service, results, candidates)
             state.saturation.observe(selection is None, self.now())
             if selection is None:
                 self.board.counters["searches.full"] += 1
@@ -144,7 +144,7 @@
         finally:
             for probe in probes:
                 probe.add_done_callback(self._release_late)
-            self._release_others(replies)
+            self._release_others(results)
 
     async def _select_cold_server(self, search, servers):
         """Return a selection of a cold server within its warm-up rate, or ``None``.
@@ -176,7 +176,7 @@
     def _start(self, search, server):
         return asyncio.get_running_loop().create_task(self._probe(search, server))
 
-    async def _collect(self, probes, replies, timeout):
+    async def _collect(self, probes, results, timeout):
         """Collect probe results until a lightly loaded server responds.
 
         Return whether one did before the timeout.
@@ -191,52 +191,52 @@
             )
             probes -= done
             for probe in done:
-                self._classify(probe.result(), replies)
+                self._classify(probe.result(), results)
             if any(
-                selection.scored_server.is_acceptable for selection in replies.healthy
+                selection.scored_server.is_acceptable for selection in results.healthy
             ):
                 return True
         return False
 
-    def _classify(self, selection, replies):
+    def _classify(self, selection, results):
         if selection is None:
             return
         now = self.now()
         server = selection.server
         if server.unhealthy_until > now:
-            replies.unhealthy.append(selection)
+            results.unhealthy.append(selection)
         elif server.is_cold(now):
-            replies.cold.append(selection)
+            results.cold.append(selection)
         else:
-            replies.healthy.append(selection)
+            results.healthy.append(selection)
 
-    def _choose(self, service, replies, candidates):
-        """Return the best selection and remove it from the replies.
+    def _choose(self, service, results, candidates):
+        """Return the best selection and remove it from the results.
 
         A server with a failing health check is chosen only if the health checks of all
         candidates fail. It may be shutting down and must then get no more requests.
         """
         available = [
             selection
-            for selection in replies.healthy
+            for selection in results.healthy
             if selection.scored_server.has_capacity
         ]
         if available:
             best = min(available, key=lambda selection: selection.scored_server.cost)
-            replies.healthy.remove(best)
+            results.healthy.remove(best)
             return best
-        if replies.healthy:
+        if results.healthy:
             return None
-        for selection in list(replies.cold):
+        for selection in list(results.cold):
             if self._may_warm(service, selection.server):
-                replies.cold.remove(selection)
+                results.cold.remove(selection)
                 return selection
         now = self.now()
-        if replies.unhealthy and all(s.unhealthy_until > now for s in candidates):
+        if results.unhealthy and all(s.unhealthy_until > now for s in candidates):
             best = min(
-                replies.unhealthy, key=lambda selection: selection.scored_server.cost
+                results.unhealthy, key=lambda selection: selection.scored_server.cost
             )
-            replies.unhealthy.remove(best)
+            results.unhealthy.remove(best)
             return best
         return None
 
@@ -249,8 +249,8 @@
             random_state=self.random_state,
         )
 
-    def _release_others(self, replies):
-        for selection in (*replies.healthy, *replies.cold, *replies.unhealthy):
+    def _release_others(self, results):
+        for selection in (*results.healthy, *results.cold, *results.unhealthy):
             self.pool(selection.server).release(selection.connection)
 
     def _release_late(self, probe):
@@ -332,7 +332,7 @@
             connection = await self._replace(service, server, connection)
             if connection is None:
                 return None
-        return self._judge(search, server, connection, response)
+        return self._process_response(search, server, connection, response)
 
     async def _replace(self, service, server, ended):
         pool = self.pool(server)
@@ -343,7 +343,7 @@
             server.unreachable_until = self.now() + UNREACHABLE_PAUSE
             return None
 
-    def _judge(self, search, server, connection, response):
+    def _process_response(self, search, server, connection, response):
         now = self.now()
         search.responded += 1
         health = self.dialect.parse_health(response, now)
--- a/boragegw/gateway/tests/test_replication.py
+++ b/boragegw/gateway/tests/test_replication.py
@@ -42,7 +42,7 @@
 
     async def start(self, value):
         """Give ``value`` at revision 1 to both."""
-        endpoint = gateway.Endpoint(self.server.answer, now=self.loop.time)
+        endpoint = gateway.Endpoint(self.server.handle, now=self.loop.time)
         await endpoint.listen(SERVER)
         self.source.apply_snapshot(snapshot(value, 1))
         self.follower.apply_snapshot(await self.client.read_all())
@@ -120,7 +120,7 @@
 @in_memory
 async def test_source_without_records_raises_an_error():
     pair = Pair()
-    await gateway.Endpoint(pair.server.answer, now=pair.loop.time).listen(SERVER)
+    await gateway.Endpoint(pair.server.handle, now=pair.loop.time).listen(SERVER)
     with pytest.raises(gateway.SourceError, match="503"):
         await pair.client.read_all()
 
--- a/boragegw/messages/_request.py
+++ b/boragegw/messages/_request.py
@@ -38,7 +38,7 @@
         """Return the digest that identifies the request content of a key.
 
         It includes the caller's credentials, so that another caller that guesses or
-        repeats the key does not get the stored answer. The body must be complete.
+        repeats the key does not get the stored response. The body must be complete.
         """
         credentials = _headers.find_header(self.headers, b"authorization", b"")
         cookie = _headers.find_header(self.headers, b"cookie", b"")
--- a/boragegw/peers/_bulk_codec.py
+++ b/boragegw/peers/_bulk_codec.py
@@ -12,7 +12,7 @@
 
 
 def _encode_outcome(outcome):
-    if isinstance(outcome, decisions.StoredAnswer):
+    if isinstance(outcome, decisions.StoredResponse):
         headers = [[k.decode("latin1"), v.decode("latin1")] for k, v in outcome.headers]
         return {
             "status": outcome.status,
@@ -32,7 +32,7 @@
         headers = tuple(
             (k.encode("latin1"), v.encode("latin1")) for k, v in row["headers"]
         )
-        return decisions.StoredAnswer(
+        return decisions.StoredResponse(
             row["status"], headers, base64.b64decode(row["body"])
         )
     return errors.RequestError(
--- a/boragegw/peers/tests/test_peer_contract.py
+++ b/boragegw/peers/tests/test_peer_contract.py
@@ -114,7 +114,7 @@
 
 def test_sealed_table_round_trip():
     outcomes = {
-        "ran": (b"1" * 16, decisions.StoredAnswer(200, ((b"a", b"\xff"),), b"\x00")),
+        "ran": (b"1" * 16, decisions.StoredResponse(200, ((b"a", b"\xff"),), b"\x00")),
         "refused": (
             b"2" * 16,
             errors.RequestError.not_run(errors.Code.OVERLOADED, "full", 1.5),
--- a/boragegw/platform/_dialect.py
+++ b/boragegw/platform/_dialect.py
@@ -68,37 +68,37 @@
         head = f"GET {service.health_path} HTTP/1.1\r\nhost: {host}:{port}\r\n\r\n"
         return head.encode()
 
-    def is_health_response(self, answer):
-        """Return whether ``answer`` is the response to a health probe.
+    def is_health_response(self, response):
+        """Return whether ``response`` is the response to a health probe.
 
         Only responses to requests carry a request ID or a signature.
         """
-        headers = answer.headers
+        headers = response.headers
         return _header_value(
             headers, _wire_names.SERVER_SIGNATURE
         ) is None and not _header_value(headers, _wire_names.REQUEST_ID)
 
-    def is_response_to(self, answer, request_id):
-        """Return whether ``answer`` is the response to the request ``request_id``."""
-        echoed = _header_value(answer.headers, _wire_names.REQUEST_ID)
+    def is_response_to(self, response, request_id):
+        """Return whether ``response`` is the response to the request ``request_id``."""
+        echoed = _header_value(response.headers, _wire_names.REQUEST_ID)
         if echoed is not None:
             return echoed == request_id
-        return not 200 <= answer.status < 300
+        return not 200 <= response.status < 300
 
-    def parse_health(self, answer, now):
+    def parse_health(self, response, now):
         """Parse a probe response into a :class:`~boragegw.gateway.HealthResponse`."""
-        identity = _header_value(answer.headers, _wire_names.INSTANCE_ID)
-        warm_up = _header_value(answer.headers, _wire_names.WARM_UP_MS)
+        identity = _header_value(response.headers, _wire_names.INSTANCE_ID)
+        warm_up = _header_value(response.headers, _wire_names.WARM_UP_MS)
         return gateway.HealthResponse(
-            healthy=answer.status == 200,
+            healthy=response.status == 200,
             identity="" if identity is None else identity.decode("latin-1"),
-            report=self.parse_load_report(answer, now),
+            report=self.parse_load_report(response, now),
             cold_for=None if warm_up is None else _parse_milliseconds(warm_up),
         )
 
-    def parse_load_report(self, answer, now):
+    def parse_load_report(self, response, now):
         """Return the load report of any response, or ``None``."""
-        value = _header_value(answer.headers, _wire_names.LOAD_REPORT)
+        value = _header_value(response.headers, _wire_names.LOAD_REPORT)
         if value is None:
             return None
         parts = value.split(b",")
@@ -111,19 +111,19 @@
             running, waiting, slots, max(0.01, percent / 100.0), now
         )
 
-    def is_not_executed(self, answer):
+    def is_not_executed(self, response):
         """Return whether the backend server reports that it did not execute it."""
-        return answer.status == MISDIRECTED_REQUEST or (
-            _header_value(answer.headers, _wire_names.NOT_EXECUTED) is not None
+        return response.status == MISDIRECTED_REQUEST or (
+            _header_value(response.headers, _wire_names.NOT_EXECUTED) is not None
         )
 
-    def is_misdirected(self, answer):
+    def is_misdirected(self, response):
         """Return whether another backend server now uses the address."""
-        return answer.status == MISDIRECTED_REQUEST
+        return response.status == MISDIRECTED_REQUEST
 
-    def is_authentic(self, answer):
+    def is_authentic(self, response):
         """Return whether a backend server generated the response."""
-        return _header_value(answer.headers, _wire_names.SERVER_SIGNATURE) is not None
+        return _header_value(response.headers, _wire_names.SERVER_SIGNATURE) is not None
 
     def error_response(self, status, request_id, retry_after=None, close=False):
         """Return the bytes of an error response of this process."""
--- a/boragegw/platform/_process.py
+++ b/boragegw/platform/_process.py
@@ -46,7 +46,7 @@
     handlers = [
         (endpoints.ready, settings.ready),
         (endpoints.resolve, settings.directory),
-        (process.replicas.answer, settings.gateway.peer_address),
+        (process.replicas.handle, settings.gateway.peer_address),
     ]
     if settings.control is not None:
         handlers.append((endpoints.status, settings.control))
--- a/boragegw/platform/tests/test_sources.py
+++ b/boragegw/platform/tests/test_sources.py
@@ -343,11 +343,11 @@
     source.apply_snapshot(gateway.ReadResult([gateway.Record("a", b"{}", 1)], 1))
     source.apply_changes(gateway.ReadResult([], 100))
     server = gateway.ReplicaServer(source, now=lambda: 0.0)
-    make = server._make_reply
+    make = server._build_response
     monkeypatch.setattr(
-        server, "_make_reply", lambda *a: prepared.append(a) or make(*a)
+        server, "_build_response", lambda *a: prepared.append(a) or make(*a)
     )
     for _ in range(3):
         for after in range(1, 17):
-            server._cached_reply(after)
+            server._cached_response(after)
     assert len(prepared) == 16
--- a/examples/at_most_once.py
+++ b/examples/at_most_once.py
@@ -12,7 +12,7 @@
 first = table.admit("lease.return-1", lease, wall=1.0)
 print(f"first copy: {first.kind.value}")
 print(f"resend while it runs: {table.admit('lease.return-1', lease, 2.0).kind.value}")
-table.finish(first.record, decisions.StoredAnswer(200, (), b"filed"))
+table.finish(first.record, decisions.StoredResponse(200, (), b"filed"))
 print(f"resend afterwards: {table.admit('lease.return-1', lease, 3.0).kind.value}")
 late = table.admit("lease.return-2", lease, wall=11.0)
 print(f"a new key of an expired lease: {late.error.code}, {late.error.verdict}")
