--- a/benchmarks/_rollout_replica.py
+++ b/benchmarks/_rollout_replica.py
@@ -59,7 +59,7 @@
         self.number = number
         self.delay = delay
         self.board = board
-        self.own = gossip.members[number]
+        self.local_member = gossip.members[number]
 
     def alive(self):
         """Return the member of each other process."""
@@ -168,7 +168,7 @@
         self.board = gateway.Blackboard()
         delay = random_state.uniform(*GOSSIP_DELAY_SECONDS)
         self.membership = SimulatedMembership(fleet.gossip, number, delay, self.board)
-        self.own = self.membership.own
+        self.own = self.membership.local_member
         self.bytes_sent = 0
         self._random_state = random_state
         self._decoding = False
@@ -207,7 +207,7 @@
             await asyncio.sleep(self.fleet.check_interval)
 
     async def _answer(self, request):
-        reply = await self._server.answer(request)
+        reply = await self._server.handle(request)
         self.bytes_sent += len(reply.body)
         return reply
 
--- a/boragegw/standins/_virtual_fleet.py
+++ b/boragegw/standins/_virtual_fleet.py
@@ -282,7 +282,7 @@
     lifecycle = node.board.lifecycle
     lifecycle.in_flight += 1
     try:
-        response = await node.carrier.handle(request)
+        response = await node.router.handle(request)
         try:
             return response, await response.read()
         finally:
--- a/boragegw/standins/_virtual_network.py
+++ b/boragegw/standins/_virtual_network.py
@@ -147,7 +147,7 @@
     async def _carry(self, node, address, incarnation, request):
         """Return the response, unless the connection to the peer is lost meanwhile."""
         task = self.simulator.start_incoming(
-            address, node.carrier.handle_forwarded(incarnation, request)
+            address, node.router.handle_forwarded(incarnation, request)
         )
         while not task.done():
             await asyncio.wait([task], timeout=0.05)
