--- a/boragegw/balancing/_budget.py
+++ b/boragegw/balancing/_budget.py
@@ -79,7 +79,7 @@
         bucket.refill(now)
         return max(1, int(bucket.tokens))
 
-    def take(self, probes):
+    def spend(self, probes):
         """Spend the budget of ``probes`` that are sent."""
         self._bucket.tokens = max(0.0, self._bucket.tokens - probes)
 
@@ -128,7 +128,7 @@
         budget = self.ratio * self._requests.total(now) + self.slack / processes
         return self.margin * budget - self._retries.total(now)
 
-    def take(self, now, processes, reserve=0.0):
+    def try_spend(self, now, processes, reserve=0.0):
         """Spend one retry; return whether the budget allowed it.
 
         :param reserve: share of the budget that must remain, so that hedges do not
--- a/boragegw/balancing/_warmup.py
+++ b/boragegw/balancing/_warmup.py
@@ -41,7 +41,7 @@
             bucket.updated_at = now
             self._buckets[server.identity] = bucket
         bucket.per_second = rate * self.margin / processes
-        return bucket.take(now)
+        return bucket.try_spend(now)
 
     def _evict_idle(self, now):
         """Evict idle buckets, which would pile up because servers are replaced."""
--- a/boragegw/balancing/tests/test_balancing.py
+++ b/boragegw/balancing/tests/test_balancing.py
@@ -125,7 +125,7 @@
     for step in range(10_000):
         budget = fleet[step % 17]
         questions = min(8, budget.remaining(step * 0.002, 20, 17))
-        budget.take(questions)
+        budget.spend(questions)
         asked += questions
     assert asked / 20.0 / 20 <= 60
 
@@ -164,7 +164,7 @@
         budget = fleet[step % 17]
         budget.observe_request(now)
         requests.append(now)
-        while budget.take(now, 17):
+        while budget.try_spend(now, 17):
             repeats.append(now)
     for start in range(0, 50):
         spent = sum(start <= moment < start + 10 for moment in repeats)
@@ -177,10 +177,10 @@
     for _ in range(100):
         budget.observe_request(0.0)
     hedges = 0
-    while budget.take(0.0, 1, reserve=0.5):
+    while budget.try_spend(0.0, 1, reserve=0.5):
         hedges += 1
     assert 5 <= hedges <= 8
-    assert budget.take(0.0, 1)
+    assert budget.try_spend(0.0, 1)
 
 
 def test_all_processes_together_stay_within_the_rate_of_a_cold_server():
@@ -249,7 +249,7 @@
     """
     budget = balancing.RetryBudget(0.0, 10.0)
     for _ in range(100):
-        assert budget.take(1.0, 1)
+        assert budget.try_spend(1.0, 1)
         budget.refund()
     assert budget.remaining(1.0, 1) == pytest.approx(8.0)
     budget.refund()
--- a/boragegw/controllers/_configuration.py
+++ b/boragegw/controllers/_configuration.py
@@ -155,7 +155,7 @@
 
     async def _acquire_read(self):
         """Wait until this process's own read budget allows a read, and count it."""
-        while not self.read_budget.take(self.clock.now()):
+        while not self.read_budget.try_spend(self.clock.now()):
             await self.sleep(POLL_SECONDS)
         self.board.counters["configuration.reads"] += 1
 
--- a/boragegw/controllers/_health_observer.py
+++ b/boragegw/controllers/_health_observer.py
@@ -125,7 +125,7 @@
 
     async def _acquire_probe(self, service):
         """Wait for the probe budget; the backend server gets no requests meanwhile."""
-        while not service.probe_budget.take(self.clock.now()):
+        while not service.probe_budget.try_spend(self.clock.now()):
             self.board.counters["probes.over_budget"] += 1
             await self.sleep(VERIFY_BACKOFF_SECONDS)
 
@@ -173,7 +173,7 @@
         answered while new connections work. An answered probe shows that the backend
         server itself works; all its connections older than the probe are discarded.
         """
-        if not service.probe_budget.take(self.clock.now()):
+        if not service.probe_budget.try_spend(self.clock.now()):
             self.board.counters["probes.over_budget"] += 1
             return False
         return await self._probe(service, backend)
--- a/boragegw/decisions/_hedging.py
+++ b/boragegw/decisions/_hedging.py
@@ -54,7 +54,7 @@
         """Return whether a hedge may be sent now; take a token if so."""
         if service.waiting or self._utilization(service) > self.utilization_limit:
             return False
-        return service.hedge_budget.take(now)
+        return service.hedge_budget.try_spend(now)
 
     @staticmethod
     def _utilization(service):
--- a/boragegw/decisions/_retries.py
+++ b/boragegw/decisions/_retries.py
@@ -57,4 +57,4 @@
             return False
         if deadline - now < self.min_remaining_time:
             return False
-        return service.retry_budget.take(now)
+        return service.retry_budget.try_spend(now)
--- a/boragegw/entry/_executor.py
+++ b/boragegw/entry/_executor.py
@@ -347,7 +347,7 @@
         :raises TruncatedResponseError: if the retry budget is exhausted or the content
             has changed.
         """
-        if not state.service.retry_budget.take(self.clock.now()):
+        if not state.service.retry_budget.try_spend(self.clock.now()):
             raise errors.TruncatedResponseError(
                 "the retry budget is exhausted; the download cannot resume"
             )
--- a/boragegw/gateway/_catalogue.py
+++ b/boragegw/gateway/_catalogue.py
@@ -66,13 +66,13 @@
         return max((r.revision for r in self._changed_after(0)), default=0)
 
     @property
-    def store_trouble_at(self):
+    def store_failure_at(self):
         """Monotonic seconds of the last sign of a failure of the store."""
-        return self._registry.store_trouble_at
+        return self._registry.store_failure_at
 
-    @store_trouble_at.setter
-    def store_trouble_at(self, seconds):
-        self._registry.store_trouble_at = seconds
+    @store_failure_at.setter
+    def store_failure_at(self, seconds):
+        self._registry.store_failure_at = seconds
 
     @property
     def misses(self):
--- a/boragegw/gateway/_delivery.py
+++ b/boragegw/gateway/_delivery.py
@@ -84,7 +84,7 @@
         head.append(b"content-length: " + length)
     writer.write(b"\r\n".join(head) + b"\r\n\r\n")
     while True:
-        chunk = response.take()
+        chunk = response.read_buffered()
         if chunk:
             writer.write(chunk if length is not None else _encode_chunk(chunk))
             await writer.drain()
--- a/boragegw/gateway/_fetch.py
+++ b/boragegw/gateway/_fetch.py
@@ -88,7 +88,7 @@
         self.progress.begin(_content_length(response), self.now())
         while True:
             limit.reschedule(asyncio.get_running_loop().time() + STALL_TIMEOUT_SECONDS)
-            chunk = response.take()
+            chunk = response.read_buffered()
             self.counters["sources.bytes"] += len(chunk)
             self.progress.received += len(chunk)
             body += chunk
--- a/boragegw/gateway/_follower.py
+++ b/boragegw/gateway/_follower.py
@@ -225,7 +225,7 @@
         if not own.reads_store:
             own.reads_store = True
             own.watches_store = True
-            self.catalogue.store_trouble_at = self.now()
+            self.catalogue.store_failure_at = self.now()
             self.log.event("store-regained", position=self.catalogue.position)
             self.membership.announce()
 
@@ -268,7 +268,7 @@
             )
             return
         own = self.membership.local_member
-        self.catalogue.store_trouble_at = self.now()
+        self.catalogue.store_failure_at = self.now()
         if own.reads_store:
             own.reads_store = False
             own.watches_store = False
@@ -300,7 +300,7 @@
         self.catalogue.expire_suspects()
         now = self.now()
         if any(not m.reads_store for m in self.membership.alive()):
-            self.catalogue.store_trouble_at = now
+            self.catalogue.store_failure_at = now
         self._publish_lag(now)
         progress = self._progress()
         if self._is_rereading and self.catalogue.position < 0:
--- a/boragegw/gateway/_forwarder.py
+++ b/boragegw/gateway/_forwarder.py
@@ -278,7 +278,7 @@
             return False
         if state.saturation.share(now) > HEDGE_SATURATION:
             return False
-        return state.retry_budget.take(now, self.board.processes, HEDGE_RESERVE)
+        return state.retry_budget.try_spend(now, self.board.processes, HEDGE_RESERVE)
 
     def _may_retry(self, call, state):
         """Return whether to retry a failed request; if so, charge the retry budget."""
@@ -289,7 +289,7 @@
             return False
         if call.attempts >= call.route.max_attempts or not call.attempts:
             return False
-        return state.retry_budget.take(now, self.board.processes)
+        return state.retry_budget.try_spend(now, self.board.processes)
 
     def _handle_outcome(self, call, outcome, winner):
         """Process an attempt's outcome; return the outcome to use, or ``None``."""
--- a/boragegw/gateway/_membership.py
+++ b/boragegw/gateway/_membership.py
@@ -65,7 +65,7 @@
 class Membership(asyncio.DatagramProtocol):
     """Sends and receives heartbeats, and keeps the list of live processes.
 
-    A process is in sight until :data:`SILENCE_TIMEOUT_SECONDS` have passed without a
+    A process is live until :data:`SILENCE_TIMEOUT_SECONDS` have passed without a
     heartbeat from it.
 
     :param local_member: this process's :class:`Member`, updated by its owner.
@@ -95,8 +95,8 @@
     # Queries.
 
     def alive(self):
-        """Return the :class:`Member` of each other process in sight."""
-        return [k.member for k in self._in_sight()]
+        """Return the :class:`Member` of each other live process."""
+        return [k.member for k in self._live_peers()]
 
     def ready(self):
         """Return the members that accept requests, including this one if it does."""
@@ -106,7 +106,7 @@
         return members
 
     def latest_revision(self):
-        """Return the greatest revision that another process in sight knows."""
+        """Return the greatest revision that another live process knows."""
         return max((m.revision for m in self.alive()), default=0)
 
     # Sending.
@@ -127,19 +127,19 @@
             self._send(address, regular if address in informed else introduction)
 
     def announce(self):
-        """Send a heartbeat to all processes in sight at once, as on a planned stop."""
+        """Send a heartbeat to all live processes at once, as on a planned stop."""
         self.local_member.beat += 1
         beat = self._heartbeat(GOSSIP_ENTRIES)
         for member in self.alive():
             self._send(_split_address(member.peer_address), beat)
 
     def broadcast_crash(self, fingerprint):
-        """Report to all processes in sight that a request crashed a backend server."""
+        """Report to all live processes that a request crashed a backend server."""
         datagram = self._encode(_peer_messages.CrashNotice(fingerprint))
         for member in self.alive():
             self._send(_split_address(member.peer_address), datagram)
 
-    def _in_sight(self):
+    def _live_peers(self):
         oldest = self.now() - self._silence_timeout
         return [k for k in self._known.values() if k.heard_at >= oldest]
 
@@ -151,19 +151,19 @@
             else LARGE_FLEET_SILENCE_TIMEOUT_SECONDS
         )
 
-    def _newcomers(self, in_sight):
+    def _newcomers(self, live_peers):
         oldest = self.now() - NEWCOMER_SECONDS
-        return [k for k in in_sight if k.known_since > oldest]
+        return [k for k in live_peers if k.known_since > oldest]
 
     def _informed_addresses(self):
         """Return the addresses of processes that certainly know the whole fleet."""
         if self.now() < self._started_at + NEWCOMER_SECONDS:
             return set()
-        in_sight = self._in_sight()
-        newcomers = self._newcomers(in_sight)
+        live_peers = self._live_peers()
+        newcomers = self._newcomers(live_peers)
         return {
             _split_address(k.member.peer_address)
-            for k in in_sight
+            for k in live_peers
             if k not in newcomers
         }
 
@@ -175,9 +175,9 @@
         """
         now = self.now()
         updates = [_update_of(self.local_member, 0.0)]
-        in_sight = self._in_sight()
-        if len(in_sight) > FANOUT:
-            chosen = self._sample(in_sight, LARGE_FLEET_UPDATES)
+        live_peers = self._live_peers()
+        if len(live_peers) > FANOUT:
+            chosen = self._sample(live_peers, LARGE_FLEET_UPDATES)
             updates += [_update_of(k.member, now - k.heard_at) for k in chosen]
         return self._encode(_peer_messages.UpdateBatch(updates))
 
@@ -187,16 +187,16 @@
         Up to :data:`MAX_GOSSIP_ENTRIES` new members are included whatever the limit.
         """
         now = self.now()
-        in_sight = self._in_sight()
-        self.random_state.shuffle(in_sight)
-        newcomers = self._newcomers(in_sight)[:MAX_GOSSIP_ENTRIES]
-        others = [k for k in in_sight if k not in newcomers]
+        live_peers = self._live_peers()
+        self.random_state.shuffle(live_peers)
+        newcomers = self._newcomers(live_peers)[:MAX_GOSSIP_ENTRIES]
+        others = [k for k in live_peers if k not in newcomers]
         chosen = newcomers + others[: max(0, limit - len(newcomers))]
         gossip = [
             _peer_messages.GossipedMember(k.member, round(now - k.heard_at, 3))
             for k in chosen
         ]
-        wants_reply = not in_sight
+        wants_reply = not live_peers
         return self._encode(
             _peer_messages.Heartbeat(self.local_member, gossip, wants_reply)
         )
@@ -326,7 +326,7 @@
                 return
         if known is None or known.member.incarnation != member.incarnation:
             self.log.event("peer-seen", peer=member.name, life=member.life)
-            self._forget(member.name)
+            self._remove(member.name)
             known = KnownPeer(member, heard_at, self.now())
             self._known[member.name] = known
             self._by_incarnation[member.incarnation] = known
@@ -334,7 +334,7 @@
         known.member = member
         self._mark_heard(known, heard_at)
 
-    def _forget(self, name):
+    def _remove(self, name):
         known = self._known.pop(name, None)
         if known is not None:
             self._by_incarnation.pop(known.member.incarnation, None)
@@ -351,7 +351,7 @@
         self._silent = silent
         for name in list(self._known):
             if now - self._known[name].heard_at > FORGET_AFTER_SECONDS:
-                self._forget(name)
+                self._remove(name)
         self._publish()
 
     def _publish(self):
--- a/boragegw/gateway/_server_registry.py
+++ b/boragegw/gateway/_server_registry.py
@@ -11,7 +11,7 @@
         listed.
     :param on_joined: called with each :class:`~boragegw.balancing.Server` that is
         listed after the first read.
-    :ivar store_trouble_at: monotonic seconds of the last sign of a failure of the
+    :ivar store_failure_at: monotonic seconds of the last sign of a failure of the
         store.
     """
 
@@ -21,7 +21,7 @@
         self.log = log
         self.on_addresses_gone = on_addresses_gone
         self.on_joined = on_joined
-        self.store_trouble_at = float("-inf")
+        self.store_failure_at = float("-inf")
         self._reports = _server_reports.LatestReports()
         self._suspects = {}
 
@@ -63,7 +63,7 @@
         if server is None or key in self._suspects:
             return
         now = self.now()
-        if now - self.store_trouble_at < _sources.STORE_TROUBLE_SECONDS:
+        if now - self.store_failure_at < _sources.STORE_FAILURE_SECONDS:
             self._suspects[key] = now + _sources.SUSPECT_GRACE_SECONDS
             self.log.event("server-doubted", server=server.identity)
             return
--- a/boragegw/gateway/_server_selector.py
+++ b/boragegw/gateway/_server_selector.py
@@ -127,7 +127,7 @@
         )
         try:
             for wave in waves:
-                state.probe_budget.take(len(wave))
+                state.probe_budget.spend(len(wave))
                 search.probed += len(wave)
                 probes |= {self._start(search, server) for server in wave}
                 if await self._collect(probes, results, WAVE_TIMEOUT):
@@ -323,7 +323,7 @@
         except asyncio.CancelledError:
             pool.discard(connection)
             raise
-        response.take()
+        response.read_buffered()
         if fresh:
             seconds = self.now() - probed_at - connection.round_trip
             server.observe_slowness(gauge.observe(seconds), self.now())
--- a/boragegw/gateway/_sources.py
+++ b/boragegw/gateway/_sources.py
@@ -9,7 +9,7 @@
 SUSPECT_GRACE_SECONDS = 1.9
 #: Seconds after a failure of the store in which disappearing servers are only suspected
 #: to be gone.
-STORE_TROUBLE_SECONDS = 3.0
+STORE_FAILURE_SECONDS = 3.0
 #: Minimum time in seconds over which a transfer rate is computed.
 MIN_RATE_SPAN_SECONDS = 0.001
 
--- a/boragegw/gateway/_upstream.py
+++ b/boragegw/gateway/_upstream.py
@@ -68,7 +68,7 @@
         self._changed = asyncio.get_running_loop().create_future()
         return self._changed
 
-    def take(self):
+    def read_buffered(self):
         """Return and remove the buffered bytes; resume reading."""
         chunk = bytes(self.body)
         self.body.clear()
--- a/boragegw/gateway/tests/test_membership.py
+++ b/boragegw/gateway/tests/test_membership.py
@@ -80,7 +80,7 @@
         pass
 
 
-def names_in_sight(process):
+def live_peer_names(process):
     return sorted(member.name for member in process.alive())
 
 
@@ -90,7 +90,7 @@
         network.add(f"p{number}")
     network.run(2.0)
     for name, process in network.processes.items():
-        assert names_in_sight(process) == sorted(set(network.processes) - {name})
+        assert live_peer_names(process) == sorted(set(network.processes) - {name})
         assert process.board.processes >= 6
 
 
@@ -105,7 +105,7 @@
     del network.processes["p3"]
     network.run(3.0)
     for process in network.processes.values():
-        assert "p3" not in names_in_sight(process)
+        assert "p3" not in live_peer_names(process)
 
 
 def test_leaving_process_is_removed_from_the_directory_at_once():
@@ -181,7 +181,7 @@
     for _ in range(10):
         network.run(0.5)
         for name, process in network.processes.items():
-            missing = set(network.processes) - {name} - set(names_in_sight(process))
+            missing = set(network.processes) - {name} - set(live_peer_names(process))
             assert len(missing) <= (1 if loss > 0.1 else 0)
 
 
@@ -265,7 +265,7 @@
     update = _peer_messages.MemberUpdate(7, 9, gateway.Life.READY, 3, True, True)
     updates = _peer_messages.UpdateBatch([update])
     process.datagram_received(msgspec.msgpack.encode(updates), ("p9", 2))
-    assert names_in_sight(process) == []
+    assert live_peer_names(process) == []
 
 
 def test_rolling_restart_sends_few_bytes():
@@ -287,7 +287,7 @@
         network.run(2.0)
     assert sum(sent) / 16.0 < 35_000
     for name, process in network.processes.items():
-        assert names_in_sight(process) == sorted(set(network.processes) - {name})
+        assert live_peer_names(process) == sorted(set(network.processes) - {name})
         assert all(
             k.member.incarnation >> 60 == (2 if int(k.member.name[1:]) < 8 else 1)
             for k in process._known.values()
@@ -316,7 +316,7 @@
     assert lost / (20 * 100 * 99) < 0.001
     del network.processes["p7"]
     network.run(4.0)
-    assert all("p7" not in names_in_sight(p) for p in network.processes.values())
+    assert all("p7" not in live_peer_names(p) for p in network.processes.values())
 
 
 def test_large_fleet_sends_little_between_data_centres():
@@ -341,7 +341,7 @@
     assert lost / (20 * 118 * 117) < 0.0001
     del network.processes["p7"]
     network.run(4.0)
-    assert all("p7" not in names_in_sight(p) for p in network.processes.values())
+    assert all("p7" not in live_peer_names(p) for p in network.processes.values())
 
 
 #: Bytes of the IP and UDP headers of a datagram.
@@ -376,8 +376,8 @@
     network.run(6.0)
     network.isolate("p7")
     network.run(seconds)
-    assert names_in_sight(network.processes["p7"]) == []
+    assert live_peer_names(network.processes["p7"]) == []
     network.isolate(None)
     network.run(4.0)
     for name, process in network.processes.items():
-        assert names_in_sight(process) == sorted(set(network.processes) - {name})
+        assert live_peer_names(process) == sorted(set(network.processes) - {name})
--- a/boragegw/platform/tests/test_delayed_reports.py
+++ b/boragegw/platform/tests/test_delayed_reports.py
@@ -42,7 +42,7 @@
         """Delete the entry and wait for ``seconds``."""
         if after_store_failure:
             for process in self.world.processes.values():
-                process.catalogue.store_trouble_at = self.world.loop.time()
+                process.catalogue.store_failure_at = self.world.loop.time()
         self.world.store.delete(KEY)
         await asyncio.sleep(seconds)
 
@@ -190,7 +190,7 @@
     )
     source.apply_snapshot(gateway.ReadResult([server_record(7, "ready", 1)], 1))
     if after_store_failure:
-        source.store_trouble_at = source.now()
+        source.store_failure_at = source.now()
     source.apply_changes(gateway.ReadResult([gateway.Record(KEY, None, 2)], 2))
     assert (KEY in source.board.servers) == after_store_failure
     assert source.apply_retained([server_record(9, "draining", 3, retained=True)]) == 1
--- a/boragegw/platform/tests/test_report_histories.py
+++ b/boragegw/platform/tests/test_report_histories.py
@@ -53,7 +53,7 @@
     async def expire_entry(self, name):
         if self.random_state.random() < 0.5:
             for process in self.world.processes.values():
-                process.catalogue.store_trouble_at = self.world.loop.time()
+                process.catalogue.store_failure_at = self.world.loop.time()
         if name in self.listed:
             self.world.store.delete(f"servers/{name}")
             self.listed.discard(name)
--- a/boragegw/platform/tests/test_slow_sources.py
+++ b/boragegw/platform/tests/test_slow_sources.py
@@ -220,7 +220,7 @@
     installation.store.put("servers/i-0", leaving.entry("app", state="draining", seq=9))
     await asyncio.sleep(1.0)
     for process in installation.processes.values():
-        process.catalogue.store_trouble_at = installation.loop.time()
+        process.catalogue.store_failure_at = installation.loop.time()
     installation.store.delete("servers/i-0")
     await asyncio.sleep(0.6)
     installation.store.put("servers/i-0", leaving.entry("app", seq=8))
--- a/boragegw/standins/_wire_world.py
+++ b/boragegw/standins/_wire_world.py
@@ -171,7 +171,7 @@
             )
             received = b""
             while not (answer.complete and not answer.body):
-                received += answer.take()
+                received += answer.read_buffered()
                 if answer.error is not None:
                     raise answer.error
                 if not answer.complete:
--- a/boragegw/utils/_tokens.py
+++ b/boragegw/utils/_tokens.py
@@ -32,8 +32,8 @@
         self.updated_at = now
         self.add(elapsed * self.per_second)
 
-    def take(self, now, amount=1.0):
-        """Take ``amount`` tokens; return False and take none if there are too few."""
+    def try_spend(self, now, amount=1.0):
+        """Spend ``amount`` tokens; return False and spend none if there are too few."""
         self.refill(now)
         if self.tokens < amount:
             self.refused += 1
