--- a/boragegw/cli/_platform.py
+++ b/boragegw/cli/_platform.py
@@ -59,6 +59,6 @@
         configuration.parse_vm_list(published.vms)
         if data["version"] > state.version:
             state.vms = {row["name"]: row for row in data["vms"]}
-            # touch_vms() increments the version.
+            # bump_vms_version() increments the version.
             state.version = data["version"] - 1
             state.bump_vms_version()
--- a/boragegw/standins/_wire_installation.py
+++ b/boragegw/standins/_wire_installation.py
@@ -188,7 +188,7 @@
             )
             received = b""
             while not (response.complete and not response.body):
-                received += response.take()
+                received += response.read_buffered()
                 if response.error is not None:
                     raise response.error
                 if not response.complete:
