--- a/boragegw/entry/_caller_application.py
+++ b/boragegw/entry/_caller_application.py
@@ -110,12 +110,12 @@
         """
         headers = scope["headers"]
         if sum(len(k) + len(v) for k, v in headers) > self.max_header_bytes:
-            raise _bad_request(f"headers exceed {self.max_header_bytes} bytes")
+            raise _bad_request(f"headers above {self.max_header_bytes} bytes")
         service, target = _split_target(scope)
         deadline = self._deadline(headers, service)
         key = [v for k, v in headers if k == messages.IDEMPOTENCY_KEY_HEADER]
         if len(key) > 1:
-            raise _bad_request("expected at most one Idempotency-Key header")
+            raise _bad_request("more than one Idempotency-Key")
         retries = _integer_header(headers, messages.RETRIES_LEFT_HEADER, 0, 10)
         length = messages.find_header(headers, b"content-length")
         chunked = messages.find_header(headers, b"transfer-encoding") is not None
@@ -123,7 +123,7 @@
         body_limit = self._body_limit(service, scope["method"], target)
         if length is not None and int(length) > body_limit:
             raise errors.RequestError.not_run(
-                errors.Code.BODY_TOO_LARGE, f"body exceeds {body_limit} bytes"
+                errors.Code.BODY_TOO_LARGE, f"body above {body_limit} bytes"
             )
         return messages.Request(
             request_id=request_id,
@@ -218,7 +218,7 @@
         path = raw_path.decode("ascii")
         query = scope["query_string"].decode("ascii")
     except UnicodeDecodeError as error:
-        raise _bad_request("path or query contains non-ASCII characters") from error
+        raise _bad_request("path or query is not ASCII") from error
     prefix = SERVICES_PATH + "/"
     if not path.startswith(prefix):
         raise _bad_request(f"expected {prefix}NAME/PATH")
@@ -238,7 +238,7 @@
     if value.isdigit() and len(value) <= 10 and minimum <= int(value) <= maximum:
         return int(value)
     raise _bad_request(
-        f"{name.decode()}: {value.decode('latin1')!r}, expected an integer in "
+        f"{name.decode()}: {value.decode('latin1')!r}, expected a whole number in "
         f"[{minimum}, {maximum}]"
     )
 
--- a/boragegw/entry/_entry_directory.py
+++ b/boragegw/entry/_entry_directory.py
@@ -51,7 +51,7 @@
         service = self.board.services.get(service_name)
         if service is None:
             raise errors.RequestError.not_run(
-                errors.Code.UNKNOWN_SERVICE, f"unknown service {service_name!r}"
+                errors.Code.UNKNOWN_SERVICE, f"no service {service_name!r}"
             )
         live_entries = self.services.live_entries()
         members = self.services.subsets.for_caller(
@@ -64,7 +64,7 @@
         if not members:
             raise errors.RequestError.not_run(
                 errors.Code.NOT_READY,
-                "no entry is serving the service",
+                "no entry is serving",
                 retry_after=1.0,
             )
         return self._build_response(service_name, members)
--- a/boragegw/entry/_executor.py
+++ b/boragegw/entry/_executor.py
@@ -136,8 +136,7 @@
             self.board.counters["requests.quarantined"] += 1
             raise errors.RequestError.not_run(
                 errors.Code.QUARANTINED,
-                "the request is quarantined because it crashed backend servers; "
-                "it was not run again",
+                "this request has crashed backend servers; it was not run again",
                 retry_after=quarantine.duration,
             )
 
@@ -289,7 +288,7 @@
         return backends.AttemptError(
             backends.Failure.CALLER,
             errors.Verdict.NOT_RUN,
-            f"{backend.name}: no longer admissible, or the deadline has passed",
+            f"{backend.name}: no longer to be used, or the deadline has passed",
         )
 
     def _build_attempt(self, state, backend, attempt_id, reason, fresh, span):
@@ -348,9 +347,7 @@
             has changed.
         """
         if not state.service.retry_budget.try_spend(self.clock.now()):
-            raise errors.TruncatedResponseError(
-                "the retry budget is exhausted; the download cannot resume"
-            )
+            raise errors.TruncatedResponseError("no retry budget to go on")
         self.board.counters["requests.resumed"] += 1
         deadline = self.clock.now() + state.service.settings.deadline
         request = dataclasses.replace(state.request, deadline=deadline)
@@ -367,9 +364,7 @@
         response = await self._attempt(resumed_state, backend, "resume", True)
         if not _response_bodies.continues_at(response, offset, etag):
             await response.aclose()
-            raise errors.TruncatedResponseError(
-                "the content changed during the download"
-            )
+            raise errors.TruncatedResponseError("the content has changed")
         return response.body
 
     def _handle_failure(self, state, error):
--- a/boragegw/entry/_request_router.py
+++ b/boragegw/entry/_request_router.py
@@ -117,7 +117,7 @@
         if lease is None:
             raise errors.RequestError.not_run(
                 errors.Code.KEY_INVALID,
-                "the key's lease is invalid; GET /v1/entries?service=NAME gives one",
+                "the key's lease is not valid; GET /v1/entries?service=NAME gives one",
             )
         return lease
 
@@ -126,7 +126,7 @@
         if lifecycle.in_flight > self.max_in_flight:
             raise errors.RequestError.not_run(
                 errors.Code.OVERLOADED,
-                "this entry has too many requests in flight",
+                "this entry has no room",
                 retry_after=1.0,
             )
         if lifecycle.state is blackboard.MemberState.STARTING:
@@ -173,9 +173,7 @@
         if sealed is not None:
             return self._response_from_sealed(sealed, request, lease)
         if self.board.lifecycle.in_flight > self.max_in_flight:
-            raise self._home_unreachable_error(
-                "this entry has too many requests in flight to forward another"
-            )
+            raise self._home_unreachable_error("this entry has no room to forward")
         holders = self.membership.sealed_table_holders(lease.incarnation)
         addresses = [lease.address, *(holder.peer_address for holder in holders)]
         span = self.tracer.start("forward", request.trace)
@@ -200,7 +198,7 @@
     def _home_unreachable_error(detail):
         return errors.RequestError(
             errors.Code.HOME_UNREACHABLE,
-            f"the home entry of the key cannot be reached: {detail}",
+            f"the key's home cannot be asked: {detail}",
             errors.Verdict.MAY_HAVE_RUN,
             retry_after=1.0,
         )
@@ -256,5 +254,5 @@
 
 def _unknown_service_error():
     return errors.RequestError.not_run(
-        errors.Code.UNKNOWN_SERVICE, "unknown service; the request was not run"
+        errors.Code.UNKNOWN_SERVICE, "no such service; nothing was run"
     )
--- a/boragegw/server/_peer_application.py
+++ b/boragegw/server/_peer_application.py
@@ -139,7 +139,7 @@
         event = await receive()
         if event["type"] == "http.disconnect":
             raise errors.RequestError.not_run(
-                errors.Code.CALLER_GONE, "the forwarding peer closed the connection"
+                errors.Code.CALLER_GONE, "the forwarding peer went away"
             )
         more = event.get("more_body", False)
         if event.get("body"):
