--- a/benchmarks/compare.py
+++ b/benchmarks/compare.py
@@ -1,4 +1,4 @@
-"""Compares contenders side by side: ``python -m benchmarks.compare [--short]``."""
+"""Comparison with baselines and an oracle: ``python -m benchmarks.compare``."""
 
 import argparse
 import concurrent.futures
@@ -7,18 +7,18 @@
 
 import numpy
 
-from benchmarks import load, policies, shapes
+from benchmarks import contenders, load, workloads
 
 WORKERS = 5
 
 
-def run_one(job):
-    """Run one (service text, contender name, utilization, seed, seconds, module)."""
+def run_job(job):
+    """Return the row of a (service, contender, load, seed, seconds, variants)."""
     service, name, utilization, seed, seconds, variants = job
-    contender = contenders(variants)[name]
+    contender = contenders_by_name(variants)[name]
     result = load.measure(
         load.LoadRun(
-            shapes.find_service(service), contender, utilization, seed, seconds
+            workloads.find_service(service), contender, utilization, seed, seconds
         )
     )
     return {
@@ -26,33 +26,39 @@
         "contender": name,
         "utilization": utilization,
         "seed": seed,
-        "p50": result.quantile(0.5),
-        "p99": result.quantile(0.99),
-        "p999": result.quantile(0.999),
-        "p99_idempotent": result.quantile(0.99, True),
-        "p99_non_idempotent": result.quantile(0.99, False),
-        "failed": result.failed,
+        "p50": result.latency_quantile_ms(0.5),
+        "p99": result.latency_quantile_ms(0.99),
+        "p999": result.latency_quantile_ms(0.999),
+        "p99_idempotent": result.latency_quantile_ms(0.99, True),
+        "p99_non_idempotent": result.latency_quantile_ms(0.99, False),
+        "failed": result.failed_share,
         "probes_per_request": result.probes / max(1, len(result.samples)),
         "sends_per_request": result.sends / max(1, len(result.samples)),
     }
 
 
-def contenders(variants=""):
-    """Return all contenders by name."""
-    rows = [*policies.BASELINES, policies.ours(), policies.ORACLE]
+def contenders_by_name(variants=""):
+    """Return all contenders by name.
+
+    :param variants: Python expression of a list of further contenders; ``ours`` is the
+        product and ``p`` the module :mod:`benchmarks.contenders`.
+    """
+    rows = [*contenders.BASELINES, contenders.product_contender(), contenders.ORACLE]
     if variants:
-        rows += eval(variants, {"ours": policies.ours, "p": policies})  # noqa: S307
+        rows += eval(variants, {"ours": contenders.product_contender, "p": contenders})  # noqa: S307
     return {row.name: row for row in rows}
 
 
-def run_jobs(jobs, run=run_one):
-    """Run jobs in a few processes and return their rows in order."""
+def run_jobs(jobs, run=run_job):
+    """Run jobs in worker processes and return their results in order."""
     with concurrent.futures.ProcessPoolExecutor(WORKERS) as pool:
         return list(pool.map(run, jobs))
 
 
-def table(rows, names, columns=("p50", "p99", "p999", "p99_non_idempotent", "failed")):
-    """Print the median over seeds with the spread (least to greatest)."""
+def print_table(
+    rows, names, columns=("p50", "p99", "p999", "p99_non_idempotent", "failed")
+):
+    """Print the median over seeds and the range (minimum to maximum)."""
     cells = {}
     for row in rows:
         key = (row["service"], row["utilization"], row["contender"])
@@ -72,11 +78,11 @@
 
 
 def ratios(rows, reference, column="p99"):
-    """Return (service, utilization, contender) to the ratios to ``reference``.
+    """Return the ratios to ``reference`` by (service, utilization, contender).
 
-    Ratios are taken within a seed: the arrivals and the neighbours are the same.
+    Ratios are taken within a seed, where arrivals and noisy neighbours are the same.
     """
-    base = {
+    reference_values = {
         (row["service"], row["utilization"], row["seed"]): row[column]
         for row in rows
         if row["contender"] == reference
@@ -84,13 +90,16 @@
     found = {}
     for row in rows:
         key = (row["service"], row["utilization"], row["contender"])
-        value = row[column] / base[(row["service"], row["utilization"], row["seed"])]
+        value = (
+            row[column]
+            / reference_values[(row["service"], row["utilization"], row["seed"])]
+        )
         found.setdefault(key, []).append(value)
     return found
 
 
-def ratio_table(rows, names, reference, column="p99"):
-    """Print the median ratio with its spread for each service and load."""
+def print_ratio_table(rows, names, reference, column="p99"):
+    """Print the median ratio and its range for each service and utilization."""
     found = ratios(rows, reference, column)
     keys = sorted({key[:2] for key in found})
     print(f"\n{column} over that of {reference}, same seed")
@@ -125,8 +134,8 @@
     parser.add_argument("--reference", default="oracle")
     parser.add_argument("--json", help="write JSON lines to this file")
     options = parser.parse_args()
-    services = options.services or [f"{s.user}/{s.name}" for s in shapes.SERVICES]
-    names = options.only or list(contenders(options.variants))
+    services = options.services or [f"{s.user}/{s.name}" for s in workloads.SERVICES]
+    names = options.only or list(contenders_by_name(options.variants))
     seconds = 2.0 if options.short else options.seconds
     seeds = 1 if options.short else options.seeds
     jobs = [
@@ -137,10 +146,10 @@
         for seed in range(seeds)
     ]
     rows = run_jobs(jobs)
-    table(rows, names)
+    print_table(rows, names)
     reference = options.reference if options.reference in names else names[0]
     for column in ("p99", "p99_non_idempotent"):
-        ratio_table(rows, names, reference, column)
+        print_ratio_table(rows, names, reference, column)
     write_json_lines(options.json, rows)
     return 0
 
--- a/boragegw/entry/tests/histories.py
+++ b/boragegw/entry/tests/histories.py
@@ -21,11 +21,13 @@
     "backend server crashes after it ran": lambda run, n: run.inject_server_faults(
         n, "crash_after"
     ),
-    "answer is lost": lambda run, n: run.inject_server_faults(n, "lose_answer"),
-    "answer is late": lambda run, n: run.inject_server_faults(n, "late_answer"),
-    "answer is crossed": lambda run, n: run.inject_server_faults(n, "crossed_answer"),
+    "answer is lost": lambda run, n: run.inject_server_faults(n, "lose_response"),
+    "answer is late": lambda run, n: run.inject_server_faults(n, "late_response"),
+    "answer is crossed": lambda run, n: run.inject_server_faults(
+        n, "mismatched_response"
+    ),
     "answer is truncated": lambda run, n: run.inject_server_faults(
-        n, "truncate_answer"
+        n, "truncate_response"
     ),
     "connections go silent": lambda run, n: run.silence_connections(n),
     "backend server refuses": lambda run, n: run.set_server_fault_briefly(n, "refuse"),
@@ -68,9 +70,7 @@
             "deadline_ms": 1500,
             "queue_limit": 2,
         }
-        service_shape = standins.ServiceShape(
-            "filing", 4, 2, document, cold_seconds=0.2
-        )
+        service_shape = standins.ServiceSpec("filing", 4, 2, document, cold_seconds=0.2)
         self.fleet = standins.VirtualFleet(
             [service_shape],
             ENTRY_COUNT,
@@ -95,9 +95,9 @@
         for fault in faults:
             fault.cancel()
         await asyncio.gather(*faults, return_exceptions=True)
-        self.fleet.world.heal()
+        self.fleet.simulator.heal()
         for index in range(ENTRY_COUNT):
-            self.fleet.world.wake(self.fleet.peer_address(index))
+            self.fleet.simulator.resume(self.fleet.peer_address(index))
         await asyncio.sleep(6.0)
         recovered = [
             await self._serves_new_filing(index) for index in sorted(self.fleet.entries)
@@ -143,9 +143,9 @@
 
     async def pause(self, number):
         address = self.fleet.peer_address(self._live_index(number))
-        self.fleet.world.pause(address)
+        self.fleet.simulator.pause(address)
         await asyncio.sleep(0.7)
-        self.fleet.world.wake(address)
+        self.fleet.simulator.resume(address)
 
     async def replace(self, number):
         index = self._live_index(number)
@@ -155,15 +155,15 @@
 
     async def cut_entry(self, number):
         address = self.fleet.peer_address(self._live_index(number))
-        self.fleet.world.cut_entry(address)
+        self.fleet.simulator.isolate(address)
         await asyncio.sleep(0.6)
-        self.fleet.world.cut_pairs.discard(address)
+        self.fleet.simulator.cuts.discard(address)
 
     async def partition(self, number):
         pair = ("dc-a", "dc-b", "dc-c", "dc-a")[number % 3 : number % 3 + 2]
-        self.fleet.world.cut(*pair)
+        self.fleet.simulator.cut(*pair)
         await asyncio.sleep(0.8)
-        self.fleet.world.cut_pairs.discard(frozenset(pair))
+        self.fleet.simulator.cuts.discard(frozenset(pair))
 
     def inject_server_faults(self, number, fault):
         faults = self._server(number).faults
@@ -241,7 +241,7 @@
             return
         code = dict(answer.headers).get(b"boragegw-code", b"").decode()
         self.answers.append(
-            standins.AnswerEvent(
+            standins.ResponseEvent(
                 loop.time(),
                 key,
                 answer.status,
--- a/boragegw/gateway/_catalogue.py
+++ b/boragegw/gateway/_catalogue.py
@@ -9,10 +9,10 @@
 
 from boragegw import utils
 from boragegw.gateway import (
+    _change_history,
     _compression,
-    _history,
-    _reports,
     _server_registry,
+    _server_reports,
     _sources,
 )
 
@@ -41,7 +41,7 @@
         self._previous = {}
         self._retained = {}
         self._miss_counts = utils.BoundedDict(MAX_MISS_COUNTS)
-        self._history = _history.ChangeHistory(log)
+        self._history = _change_history.ChangeHistory(log)
         self._registry = _server_registry.ServerRegistry(
             board,
             now=now,
@@ -66,13 +66,13 @@
         return max((r.revision for r in self._changed_after(0)), default=0)
 
     @property
-    def store_trouble_at(self):
+    def store_failure_at(self):
         """Monotonic seconds of the last sign of a failure of the store."""
-        return self._registry.store_trouble_at
+        return self._registry.store_failure_at
 
-    @store_trouble_at.setter
-    def store_trouble_at(self, seconds):
-        self._registry.store_trouble_at = seconds
+    @store_failure_at.setter
+    def store_failure_at(self, seconds):
+        self._registry.store_failure_at = seconds
 
     @property
     def misses(self):
@@ -209,7 +209,7 @@
             listing = self.decoder.decode_server(record)
             if listing is None:
                 continue
-            if self._registry.merge_retained(_reports.Report(record, listing)):
+            if self._registry.merge_retained(_server_reports.Report(record, listing)):
                 merged += 1
                 self._replace_by_retained(record)
         return merged
--- a/boragegw/gateway/_membership.py
+++ b/boragegw/gateway/_membership.py
@@ -65,18 +65,18 @@
 class Membership(asyncio.DatagramProtocol):
     """Sends and receives heartbeats, and keeps the list of live processes.
 
-    A process is in sight until :data:`SILENCE_TIMEOUT_SECONDS` have passed without a
+    A process is live until :data:`SILENCE_TIMEOUT_SECONDS` have passed without a
     heartbeat from it.
 
-    :param own: this process's :class:`Member`, updated by its owner.
+    :param local_member: this process's :class:`Member`, updated by its owner.
     :param seeds: function that returns the ``(host, port)`` pairs of the seeds.
     :ivar on_crash: called with the fingerprint of each :class:`CrashNotice`.
     :ivar on_change: called after the state of another process may have changed.
     """
 
-    def __init__(self, board, own, seeds, *, now, log, random_state=None):
+    def __init__(self, board, local_member, seeds, *, now, log, random_state=None):
         self.board = board
-        self.own = own
+        self.local_member = local_member
         self.seeds = seeds
         self.now = now
         self.log = log
@@ -95,18 +95,18 @@
     # Queries.
 
     def alive(self):
-        """Return the :class:`Member` of each other process in sight."""
-        return [k.member for k in self._in_sight()]
+        """Return the :class:`Member` of each other live process."""
+        return [k.member for k in self._live_peers()]
 
     def ready(self):
         """Return the members that accept requests, including this one if it does."""
         members = [m for m in self.alive() if m.life == _peer_messages.Life.READY]
-        if self.own.life == _peer_messages.Life.READY:
-            members.append(self.own)
+        if self.local_member.life == _peer_messages.Life.READY:
+            members.append(self.local_member)
         return members
 
     def latest_revision(self):
-        """Return the greatest revision that another process in sight knows."""
+        """Return the greatest revision that another live process knows."""
         return max((m.revision for m in self.alive()), default=0)
 
     # Sending.
@@ -117,29 +117,29 @@
 
     def tick(self):
         """Send a heartbeat; to be called every :data:`HEARTBEAT_INTERVAL_SECONDS`."""
-        self.own.beat += 1
+        self.local_member.beat += 1
         self._expire_silent()
         introduction = self._heartbeat(MAX_GOSSIP_ENTRIES)
-        is_full = self.own.beat % FULL_HEARTBEAT_BEATS == 0
+        is_full = self.local_member.beat % FULL_HEARTBEAT_BEATS == 0
         regular = self._heartbeat(GOSSIP_ENTRIES) if is_full else self._update_batch()
         informed = self._informed_addresses()
         for address in self._targets():
             self._send(address, regular if address in informed else introduction)
 
     def announce(self):
-        """Send a heartbeat to all processes in sight at once, as on a planned stop."""
-        self.own.beat += 1
+        """Send a heartbeat to all live processes at once, as on a planned stop."""
+        self.local_member.beat += 1
         beat = self._heartbeat(GOSSIP_ENTRIES)
         for member in self.alive():
             self._send(_split_address(member.peer_address), beat)
 
     def broadcast_crash(self, fingerprint):
-        """Report to all processes in sight that a request crashed a backend server."""
+        """Report to all live processes that a request crashed a backend server."""
         datagram = self._encode(_peer_messages.CrashNotice(fingerprint))
         for member in self.alive():
             self._send(_split_address(member.peer_address), datagram)
 
-    def _in_sight(self):
+    def _live_peers(self):
         oldest = self.now() - self._silence_timeout
         return [k for k in self._known.values() if k.heard_at >= oldest]
 
@@ -151,19 +151,19 @@
             else LARGE_FLEET_SILENCE_TIMEOUT_SECONDS
         )
 
-    def _newcomers(self, in_sight):
+    def _newcomers(self, live_peers):
         oldest = self.now() - NEWCOMER_SECONDS
-        return [k for k in in_sight if k.known_since > oldest]
+        return [k for k in live_peers if k.known_since > oldest]
 
     def _informed_addresses(self):
         """Return the addresses of processes that certainly know the whole fleet."""
         if self.now() < self._started_at + NEWCOMER_SECONDS:
             return set()
-        in_sight = self._in_sight()
-        newcomers = self._newcomers(in_sight)
+        live_peers = self._live_peers()
+        newcomers = self._newcomers(live_peers)
         return {
             _split_address(k.member.peer_address)
-            for k in in_sight
+            for k in live_peers
             if k not in newcomers
         }
 
@@ -174,10 +174,10 @@
         They pass the update on to the others.
         """
         now = self.now()
-        updates = [_update_of(self.own, 0.0)]
-        in_sight = self._in_sight()
-        if len(in_sight) > FANOUT:
-            chosen = self._sample(in_sight, LARGE_FLEET_UPDATES)
+        updates = [_update_of(self.local_member, 0.0)]
+        live_peers = self._live_peers()
+        if len(live_peers) > FANOUT:
+            chosen = self._sample(live_peers, LARGE_FLEET_UPDATES)
             updates += [_update_of(k.member, now - k.heard_at) for k in chosen]
         return self._encode(_peer_messages.UpdateBatch(updates))
 
@@ -187,17 +187,19 @@
         Up to :data:`MAX_GOSSIP_ENTRIES` new members are included whatever the limit.
         """
         now = self.now()
-        in_sight = self._in_sight()
-        self.random_state.shuffle(in_sight)
-        newcomers = self._newcomers(in_sight)[:MAX_GOSSIP_ENTRIES]
-        others = [k for k in in_sight if k not in newcomers]
+        live_peers = self._live_peers()
+        self.random_state.shuffle(live_peers)
+        newcomers = self._newcomers(live_peers)[:MAX_GOSSIP_ENTRIES]
+        others = [k for k in live_peers if k not in newcomers]
         chosen = newcomers + others[: max(0, limit - len(newcomers))]
         gossip = [
             _peer_messages.GossipedMember(k.member, round(now - k.heard_at, 3))
             for k in chosen
         ]
-        wants_reply = not in_sight
-        return self._encode(_peer_messages.Heartbeat(self.own, gossip, wants_reply))
+        wants_reply = not live_peers
+        return self._encode(
+            _peer_messages.Heartbeat(self.local_member, gossip, wants_reply)
+        )
 
     def _targets(self):
         alive = self.alive()
@@ -209,9 +211,9 @@
         targets = {_split_address(member.peer_address) for member in alive}
         # Seeds are contacted forever: after a partition in which both sides have
         # forgotten each other, only the seeds reconnect them.
-        if not is_large or self.own.beat % LARGE_FLEET_SEED_BEATS == 0:
+        if not is_large or self.local_member.beat % LARGE_FLEET_SEED_BEATS == 0:
             targets.update(self.seeds())
-        targets.discard(_split_address(self.own.peer_address))
+        targets.discard(_split_address(self.local_member.peer_address))
         return targets
 
     def _sample_by_data_centre(self, members):
@@ -219,7 +221,7 @@
         groups = {}
         for member in members:
             groups.setdefault(member.data_centre, []).append(member)
-        near = groups.pop(self.own.data_centre, [])
+        near = groups.pop(self.local_member.data_centre, [])
         chosen = []
         for group in groups.values():
             chosen += self._sample(group, LARGE_FLEET_REMOTE_FANOUT)
@@ -309,7 +311,7 @@
 
         :param direct: the state comes from the process itself and not by gossip.
         """
-        if member.name == self.own.name:
+        if member.name == self.local_member.name:
             return
         known = self._known.get(member.name)
         if known is not None:
@@ -324,7 +326,7 @@
                 return
         if known is None or known.member.incarnation != member.incarnation:
             self.log.event("peer-seen", peer=member.name, life=member.life)
-            self._forget(member.name)
+            self._remove(member.name)
             known = KnownPeer(member, heard_at, self.now())
             self._known[member.name] = known
             self._by_incarnation[member.incarnation] = known
@@ -332,7 +334,7 @@
         known.member = member
         self._mark_heard(known, heard_at)
 
-    def _forget(self, name):
+    def _remove(self, name):
         known = self._known.pop(name, None)
         if known is not None:
             self._by_incarnation.pop(known.member.incarnation, None)
@@ -349,7 +351,7 @@
         self._silent = silent
         for name in list(self._known):
             if now - self._known[name].heard_at > FORGET_AFTER_SECONDS:
-                self._forget(name)
+                self._remove(name)
         self._publish()
 
     def _publish(self):
--- a/boragegw/gateway/tests/test_membership.py
+++ b/boragegw/gateway/tests/test_membership.py
@@ -80,7 +80,7 @@
         pass
 
 
-def names_in_sight(process):
+def live_peer_names(process):
     return sorted(member.name for member in process.alive())
 
 
@@ -90,7 +90,7 @@
         network.add(f"p{number}")
     network.run(2.0)
     for name, process in network.processes.items():
-        assert names_in_sight(process) == sorted(set(network.processes) - {name})
+        assert live_peer_names(process) == sorted(set(network.processes) - {name})
         assert process.board.processes >= 6
 
 
@@ -105,7 +105,7 @@
     del network.processes["p3"]
     network.run(3.0)
     for process in network.processes.values():
-        assert "p3" not in names_in_sight(process)
+        assert "p3" not in live_peer_names(process)
 
 
 def test_leaving_process_is_removed_from_the_directory_at_once():
@@ -114,7 +114,7 @@
         network.add(f"p{number}")
     network.run(2.0)
     leaving = network.processes["p1"]
-    leaving.own.life = gateway.Life.LEAVING
+    leaving.local_member.life = gateway.Life.LEAVING
     leaving.announce()
     network.deliver()
     assert "p1" not in [m.name for m in network.processes["p2"].ready()]
@@ -132,7 +132,8 @@
     network.add("p2", incarnation=2)
     network.run(1.0)
     stale = _peer_messages.Heartbeat(
-        network.processes["p1"].own, [_peer_messages.GossipedMember(old.own, 0.9)]
+        network.processes["p1"].local_member,
+        [_peer_messages.GossipedMember(old.local_member, 0.9)],
     )
     network.processes["p3"].datagram_received(msgspec.msgpack.encode(stale), ("p1", 2))
     (known,) = [m for m in network.processes["p3"].alive() if m.name == "p2"]
@@ -180,7 +181,7 @@
     for _ in range(10):
         network.run(0.5)
         for name, process in network.processes.items():
-            missing = set(network.processes) - {name} - set(names_in_sight(process))
+            missing = set(network.processes) - {name} - set(live_peer_names(process))
             assert len(missing) <= (1 if loss > 0.1 else 0)
 
 
@@ -224,7 +225,9 @@
     network.run(6.0)
     sent = []
     for process in network.processes.values():
-        process.connection_made(CountingTransport(network, process.own.name, sent))
+        process.connection_made(
+            CountingTransport(network, process.local_member.name, sent)
+        )
     network.run(10.0)
     assert sum(sent) / 10.0 < 16_000
 
@@ -249,8 +252,8 @@
         network.add(f"p{number}")
     network.run(6.0)
     for beat in range(4):
-        network.processes["p1"].own.revision = 40 + beat
-        network.processes["p1"].own.reads_store = beat % 2 == 0
+        network.processes["p1"].local_member.revision = 40 + beat
+        network.processes["p1"].local_member.reads_store = beat % 2 == 0
         network.run(0.5)
         (seen,) = (m for m in network.processes["p2"].alive() if m.name == "p1")
         assert (seen.revision, seen.reads_store) == (40 + beat, beat % 2 == 0)
@@ -262,7 +265,7 @@
     update = _peer_messages.MemberUpdate(7, 9, gateway.Life.READY, 3, True, True)
     updates = _peer_messages.UpdateBatch([update])
     process.datagram_received(msgspec.msgpack.encode(updates), ("p9", 2))
-    assert names_in_sight(process) == []
+    assert live_peer_names(process) == []
 
 
 def test_rolling_restart_sends_few_bytes():
@@ -277,12 +280,14 @@
     sent = []
     for turn in range(8):
         for process in network.processes.values():
-            process.connection_made(CountingTransport(network, process.own.name, sent))
+            process.connection_made(
+                CountingTransport(network, process.local_member.name, sent)
+            )
         network.add(f"p{turn}", incarnation=2)
         network.run(2.0)
     assert sum(sent) / 16.0 < 35_000
     for name, process in network.processes.items():
-        assert names_in_sight(process) == sorted(set(network.processes) - {name})
+        assert live_peer_names(process) == sorted(set(network.processes) - {name})
         assert all(
             k.member.incarnation >> 60 == (2 if int(k.member.name[1:]) < 8 else 1)
             for k in process._known.values()
@@ -300,7 +305,9 @@
     network.run(6.0)
     sent = []
     for process in network.processes.values():
-        process.connection_made(CountingTransport(network, process.own.name, sent))
+        process.connection_made(
+            CountingTransport(network, process.local_member.name, sent)
+        )
     lost = 0
     for _ in range(20):
         network.run(0.5)
@@ -309,7 +316,7 @@
     assert lost / (20 * 100 * 99) < 0.001
     del network.processes["p7"]
     network.run(4.0)
-    assert all("p7" not in names_in_sight(p) for p in network.processes.values())
+    assert all("p7" not in live_peer_names(p) for p in network.processes.values())
 
 
 def test_large_fleet_sends_little_between_data_centres():
@@ -334,7 +341,7 @@
     assert lost / (20 * 118 * 117) < 0.0001
     del network.processes["p7"]
     network.run(4.0)
-    assert all("p7" not in names_in_sight(p) for p in network.processes.values())
+    assert all("p7" not in live_peer_names(p) for p in network.processes.values())
 
 
 #: Bytes of the IP and UDP headers of a datagram.
@@ -343,8 +350,8 @@
 
 class CrossingTransport(Transport):
     def __init__(self, network, process, sent, across):
-        super().__init__(network, process.own.name)
-        self.data_centre = process.own.data_centre
+        super().__init__(network, process.local_member.name)
+        self.data_centre = process.local_member.data_centre
         self.sent = sent
         self.across = across
 
@@ -352,7 +359,7 @@
         size = len(data) + DATAGRAM_HEADER_BYTES
         self.sent.append(size)
         target = self.network.processes.get(address[0])
-        if target is not None and target.own.data_centre != self.data_centre:
+        if target is not None and target.local_member.data_centre != self.data_centre:
             self.across.append(size)
         super().sendto(data, address)
 
@@ -369,8 +376,8 @@
     network.run(6.0)
     network.isolate("p7")
     network.run(seconds)
-    assert names_in_sight(network.processes["p7"]) == []
+    assert live_peer_names(network.processes["p7"]) == []
     network.isolate(None)
     network.run(4.0)
     for name, process in network.processes.items():
-        assert names_in_sight(process) == sorted(set(network.processes) - {name})
+        assert live_peer_names(process) == sorted(set(network.processes) - {name})
--- a/boragegw/platform/tests/test_delayed_reports.py
+++ b/boragegw/platform/tests/test_delayed_reports.py
@@ -7,7 +7,7 @@
 
 from boragegw import gateway, standins
 from boragegw.gateway.tests import test_catalogue
-from boragegw.platform import _documents
+from boragegw.platform import _document_decoder
 
 in_memory = standins.in_memory
 
@@ -17,7 +17,7 @@
 class Installation:
     """Processes that know from report 9 that the server ``i-0`` is draining.
 
-    :param world: a started :class:`~boragegw.standins.WireWorld`.
+    :param world: a started :class:`~boragegw.standins.WireInstallation`.
     """
 
     def __init__(self, world):
@@ -26,7 +26,7 @@
 
     @classmethod
     async def start(cls, processes=2, data_centres=("dc-a",)):
-        world = standins.WireWorld()
+        world = standins.WireInstallation()
         await world.start(gateways=processes, data_centres=data_centres)
         await asyncio.sleep(3.0)
         installation = cls(world)
@@ -42,7 +42,7 @@
         """Delete the entry and wait for ``seconds``."""
         if after_store_failure:
             for process in self.world.processes.values():
-                process.catalogue.store_trouble_at = self.world.loop.time()
+                process.catalogue.store_failure_at = self.world.loop.time()
         self.world.store.delete(KEY)
         await asyncio.sleep(seconds)
 
@@ -60,7 +60,7 @@
             if address[0] == name:
                 del self.world.network.listeners[address]
         process.membership._transport.close()
-        self.world.network.silence(name)
+        self.world.network.blackhole_connections(name)
         await asyncio.sleep(4.0)
 
     def draining(self):
@@ -186,11 +186,11 @@
 def test_retained_draining_report_of_a_missing_server_is_adopted(after_store_failure):
     """The older report replaced the one retained while the entry was missing."""
     source = test_catalogue.catalogue(
-        _documents.DocumentDecoder(test_catalogue.EventRecorder())
+        _document_decoder.DocumentDecoder(test_catalogue.EventRecorder())
     )
     source.apply_snapshot(gateway.ReadResult([server_record(7, "ready", 1)], 1))
     if after_store_failure:
-        source.store_trouble_at = source.now()
+        source.store_failure_at = source.now()
     source.apply_changes(gateway.ReadResult([gateway.Record(KEY, None, 2)], 2))
     assert (KEY in source.board.servers) == after_store_failure
     assert source.apply_retained([server_record(9, "draining", 3, retained=True)]) == 1
--- a/boragegw/platform/tests/test_stalled_answers.py
+++ b/boragegw/platform/tests/test_stalled_answers.py
@@ -18,7 +18,9 @@
 
 async def start(mbps=10.0, timeout_s=60.0, kind="download"):
     """Start an installation whose backend servers send large responses."""
-    installation = await standins.WireWorld().start(kind=kind, timeout_s=timeout_s)
+    installation = await standins.WireInstallation().start(
+        route_type=kind, timeout_s=timeout_s
+    )
     for backend in installation.backends.values():
         backend.body = b"x" * BODY_BYTES
         installation.network.set_link(backend.address[0], mbps)
@@ -27,12 +29,12 @@
 
 def silence(installation):
     for backend in installation.backends.values():
-        installation.network.silence(backend.address[0])
+        installation.network.blackhole_connections(backend.address[0])
 
 
 def slow_down(installation):
     for backend in installation.backends.values():
-        installation.network.outgoing(backend.address[0]).rate = STALLED_MBPS
+        installation.network.outgoing_link(backend.address[0]).rate = STALLED_MBPS
 
 
 def disconnect_callers(installation):
--- a/boragegw/server/_peer_application.py
+++ b/boragegw/server/_peer_application.py
@@ -93,7 +93,7 @@
             retries_left=left,
             trace=messages.find_header(scope["headers"], messages.TRACEPARENT_HEADER),
         )
-        response = await self.node.carrier.handle_forwarded(incarnation, request)
+        response = await self.node.router.handle_forwarded(incarnation, request)
         if response is None:
             await _reply(send, 421)
             return
@@ -139,7 +139,7 @@
         event = await receive()
         if event["type"] == "http.disconnect":
             raise errors.RequestError.not_run(
-                errors.Code.CALLER_GONE, "the forwarding peer closed the connection"
+                errors.Code.CALLER_GONE, "the forwarding peer went away"
             )
         more = event.get("more_body", False)
         if event.get("body"):
--- a/boragegw/standins/__init__.py
+++ b/boragegw/standins/__init__.py
@@ -1,64 +1,83 @@
-"""Small platform and backend servers with switchable faults, for tests and the demo."""
+"""Test doubles of platform, backend servers and callers, with fault injection.
 
-from boragegw.standins._backend import BackendFaults, StandinBackend
-from boragegw.standins._caller import Caller, CallerAnswer
-from boragegw.standins._fleet import LocalFleet
-from boragegw.standins._history import AnswerEvent, violations
+Tests, benchmarks and the demo use them at three levels:
+
+- over loopback sockets: :class:`LocalFleet`, :class:`StandinBackend`,
+  :class:`StandinPlatform` and :class:`Caller`;
+- in virtual time, below the interfaces of a node: :class:`VirtualFleet`,
+  :class:`VirtualBackend` and the other ``Virtual`` classes;
+- over an in-memory network in virtual time: :class:`MemoryLoop`,
+  :class:`WireInstallation` and the other ``Wire`` classes.
+"""
+
+from boragegw.standins._caller import Caller, CallerResponse
+from boragegw.standins._history_checks import ResponseEvent, find_violations
+from boragegw.standins._http_backend import BackendFaults, StandinBackend
+from boragegw.standins._load_generator import (
+    LoadGenerator,
+    OutcomeShares,
+    start_noisy_installation,
+)
+from boragegw.standins._local_fleet import LocalFleet
 from boragegw.standins._memory_network import (
-    HOST,
+    CURRENT_HOST,
     MemoryLoop,
     in_memory,
     run_in_memory,
 )
+from boragegw.standins._noisy_backend import NoisyBackend
 from boragegw.standins._platform import PublishedState, StandinPlatform
+from boragegw.standins._route_generator import generate_routes
 from boragegw.standins._virtual_backend import RunEvent, VirtualBackend, VirtualFaults
-from boragegw.standins._virtual_fleet import ServiceShape, VirtualFleet
+from boragegw.standins._virtual_fleet import ServiceSpec, VirtualFleet
 from boragegw.standins._virtual_network import (
-    VirtualNetwork,
-    VirtualPlatform,
-    VirtualWorld,
+    NetworkSimulator,
+    VirtualPeerNetwork,
+    VirtualPlatformSource,
 )
 from boragegw.standins._virtual_transport import VirtualTransport
 from boragegw.standins._wire_backend import WireBackend, WireFaults
-from boragegw.standins._wire_load import CallerLoad, Shares, noisy_world
-from boragegw.standins._wire_noise import NoisyBackend
-from boragegw.standins._wire_routes import many_routes
+from boragegw.standins._wire_installation import (
+    PEER_PORT,
+    STORE_ADDRESS,
+    WireInstallation,
+    encode_request,
+)
 from boragegw.standins._wire_store import WireStore
-from boragegw.standins._wire_world import PEER_PORT, STORE, WireWorld, request_bytes
 
 __all__ = [
-    "HOST",
+    "CURRENT_HOST",
     "PEER_PORT",
-    "STORE",
+    "STORE_ADDRESS",
     "in_memory",
-    "many_routes",
-    "noisy_world",
-    "AnswerEvent",
+    "generate_routes",
+    "start_noisy_installation",
+    "ResponseEvent",
     "BackendFaults",
     "Caller",
-    "CallerAnswer",
-    "CallerLoad",
+    "CallerResponse",
+    "LoadGenerator",
     "LocalFleet",
     "MemoryLoop",
     "NoisyBackend",
     "PublishedState",
     "RunEvent",
-    "ServiceShape",
-    "Shares",
+    "ServiceSpec",
+    "OutcomeShares",
     "StandinBackend",
     "StandinPlatform",
     "VirtualBackend",
     "VirtualFaults",
     "VirtualFleet",
-    "VirtualNetwork",
-    "VirtualPlatform",
+    "VirtualPeerNetwork",
+    "VirtualPlatformSource",
     "VirtualTransport",
-    "VirtualWorld",
+    "NetworkSimulator",
     "WireBackend",
     "WireFaults",
     "WireStore",
-    "WireWorld",
-    "request_bytes",
+    "WireInstallation",
+    "encode_request",
     "run_in_memory",
-    "violations",
+    "find_violations",
 ]
--- a/boragegw/standins/_virtual_fleet.py
+++ b/boragegw/standins/_virtual_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time: real nodes, fakes at their interfaces."""
+"""A fleet in virtual time: real nodes with fake transports, networks and sources."""
 
 import asyncio
 import dataclasses
@@ -14,52 +14,65 @@
 
 DATA_CENTRES = ("dc-a", "dc-b", "dc-c")
 SECRET = b"virtual-fleet-secret"
-WALL_START = 1_700_000_000.0
+#: Wall clock at loop time zero, in seconds since the epoch.
+WALL_CLOCK_START_SECONDS = 1_700_000_000.0
 
 
 @dataclasses.dataclass(slots=True)
-class ServiceShape:
-    """One service of a virtual fleet.
+class ServiceSpec:
+    """A service of a virtual fleet and the properties of its backend servers.
 
+    :param backends: number of backend servers.
+    :param slots: slots of each backend server.
     :param document: members of its service document besides the name.
-    :param mean_service: mean seconds of a request (exponential).
+    :param mean_service_seconds: mean of the exponentially distributed service time.
+    :param cold_seconds: seconds from a cold start until a backend server is warm.
+    :param cold_capacity: concurrent requests that a cold backend server handles without
+        slowing down.
+    :param queue: requests that may be queued for a slot of a backend server.
     """
 
     name: str
     backends: int
     slots: int
     document: dict = dataclasses.field(default_factory=dict)
-    mean_service: float = 0.010
+    mean_service_seconds: float = 0.010
     cold_seconds: float = 2.0
     cold_capacity: int = 1
     queue: int = 1000
 
 
 class VirtualFleet:
-    """Nodes, backend servers and platform in one virtual-time loop.
+    """Nodes, backend servers and a platform in one virtual-time event loop.
 
-    :param shapes: :class:`ServiceShape` list.
+    :param specs: :class:`ServiceSpec` list.
     :param entries: number of entry processes.
-    :param seed: of everything random.
-    :param parameters: function from an index to a node's ``NodeParameters``.
+    :param seed: seed of all random number generators.
+    :param parameters: function from an entry's index to its ``NodeParameters``.
+    :param loss: share of datagrams between entries that are lost.
     """
 
-    def __init__(self, shapes, entries=6, seed=0, parameters=None, loss=0.0):
-        self.shapes = shapes
+    def __init__(self, specs, entries=6, seed=0, parameters=None, loss=0.0):
+        self.specs = specs
         self.entry_count = entries
         self.seed = seed
         self.parameters = parameters or (lambda index: server.NodeParameters())
         self.random_state = random.Random(seed)
-        self.world = _virtual_network.VirtualWorld(random.Random(seed + 1), loss)
+        self.simulator = _virtual_network.NetworkSimulator(
+            random.Random(seed + 1), loss
+        )
         self.state = _platform.PublishedState()
         self.log = []
         self.servers = {}
         self.transports = {}
         self.entries = {}
-        self._starts = 0
+        self._incarnation_count = 0
 
     async def start(self, warm=True):
-        """Start everything; with ``warm`` all temperatures are warm and known."""
+        """Start everything and let the entries exchange heartbeats for 3 seconds.
+
+        :param warm: all backend servers are warm, and all entries know that.
+        """
         self._publish()
         rows = self._backend_rows()
         for index in range(self.entry_count):
@@ -70,27 +83,27 @@
         await asyncio.gather(*(node.start() for node in nodes))
         await asyncio.sleep(3.0)
         if warm:
-            self._know_warm()
+            self._mark_backends_warm()
 
     def _publish(self):
         documents = {"recalls": configuration.encode_document({"recalls": []})}
-        for shape in self.shapes:
-            model = configuration.ServiceDocument(name=shape.name, **shape.document)
-            documents[f"service.{shape.name}"] = configuration.encode_document(model)
+        for spec in self.specs:
+            model = configuration.ServiceDocument(name=spec.name, **spec.document)
+            documents[f"service.{spec.name}"] = configuration.encode_document(model)
         self.state.publish(documents)
 
     def _backend_rows(self):
         rows = []
-        for shape in self.shapes:
-            for index in range(shape.backends):
+        for spec in self.specs:
+            for index in range(spec.backends):
                 rows.append(
                     {
-                        "name": f"{shape.name}-{index + 1}",
+                        "name": f"{spec.name}-{index + 1}",
                         "role": "backend",
                         "address": f"10.1.0.{index % 250 + 1}:80",
                         "data_centre": DATA_CENTRES[index % len(DATA_CENTRES)],
-                        "service": shape.name,
-                        "slots": shape.slots,
+                        "service": spec.name,
+                        "slots": spec.slots,
                         "release": f"release-{1 + index % 2}",
                     }
                 )
@@ -107,37 +120,42 @@
 
     @staticmethod
     def peer_address(index):
-        """Return the peer address of the entry ``index``."""
+        """Return the peer address of the entry with the given index."""
         return f"10.0.0.{index + 1}:90"
 
     def _make_servers(self, warm):
-        _, vms = configuration.parse_vm_list(self.state.raw_vms())
+        _, vms = configuration.parse_vm_list(self.state.encode_vms())
         loop = asyncio.get_running_loop()
-        for shape in self.shapes:
+        for spec in self.specs:
             for vm in vms.values():
-                if vm.service != shape.name:
+                if vm.service != spec.name:
                     continue
-                draw = random.Random(f"{self.seed}/{vm.name}")
+                rng = random.Random(f"{self.seed}/{vm.name}")
                 self.servers[vm.name] = _virtual_backend.VirtualBackend(
                     vm,
                     loop.time,
-                    lambda draw=draw, mean=shape.mean_service: draw.expovariate(
+                    lambda rng=rng, mean=spec.mean_service_seconds: rng.expovariate(
                         1 / mean
                     ),
-                    shape.cold_capacity,
-                    shape.cold_seconds,
-                    shape.queue,
+                    spec.cold_capacity,
+                    spec.cold_seconds,
+                    spec.queue,
                     self.log,
                 )
                 if warm:
-                    self.servers[vm.name].warm_up_at_once()
+                    self.servers[vm.name].skip_warm_up()
 
     def make_entry(self, index):
-        """Return a new process incarnation for the entry ``index``."""
-        self._starts += 1
+        """Return a new node, not started, for the entry with the given index.
+
+        Each call gives the node a new incarnation.
+        """
+        self._incarnation_count += 1
         address = self.peer_address(index)
         data_centre = DATA_CENTRES[index % len(DATA_CENTRES)]
-        incarnation = random.Random(f"{self.seed}/{self._starts}").getrandbits(64)
+        incarnation = random.Random(
+            f"{self.seed}/{self._incarnation_count}"
+        ).getrandbits(64)
         identity = blackboard.Identity(
             f"entry-{index + 1}",
             data_centre,
@@ -146,22 +164,22 @@
             address,
         )
 
-        async def gate():
-            await self.world.gate(address)
+        async def wait_while_paused():
+            await self.simulator.wait_while_paused(address)
 
         async def sleep(seconds):
             await asyncio.sleep(seconds)
-            await gate()
+            await wait_while_paused()
 
-        transport = self._make_transport(address, data_centre, gate)
-        source = _virtual_network.VirtualPlatform(self.state, gate)
+        transport = self._make_transport(address, data_centre, wait_while_paused)
+        source = _virtual_network.VirtualPlatformSource(self.state, wait_while_paused)
         node = server.Node(
             identity,
-            clock=utils.LoopClock(WALL_START),
+            clock=utils.LoopClock(WALL_CLOCK_START_SECONDS),
             random_state=random.Random(incarnation),
             transport=transport,
-            network=_virtual_network.VirtualNetwork(
-                self.world, address, data_centre, incarnation
+            network=_virtual_network.VirtualPeerNetwork(
+                self.simulator, address, data_centre, incarnation
             ),
             configuration_source=source,
             fleet_source=source,
@@ -169,25 +187,25 @@
             parameters=self.parameters(index),
             sleep=sleep,
         )
-        self.world.nodes[address] = node
+        self.simulator.nodes[address] = node
         self.entries[index] = node
         self.transports[index] = transport
         return node
 
-    def _make_transport(self, address, data_centre, gate):
-        place = (address, data_centre)
+    def _make_transport(self, address, data_centre, wait_while_paused):
+        endpoint = (address, data_centre)
 
         def reachable(vm):
-            return not self.world.is_cut(place, (vm.address, vm.data_centre))
+            return not self.simulator.is_cut(endpoint, (vm.address, vm.data_centre))
 
         return _virtual_transport.VirtualTransport(
             self.servers,
-            lambda vm: self.world.delay(data_centre, vm.data_centre),
+            lambda vm: self.simulator.latency(data_centre, vm.data_centre),
             reachable,
-            gate,
+            wait_while_paused,
         )
 
-    def _know_warm(self):
+    def _mark_backends_warm(self):
         for node in self.entries.values():
             for service in node.board.services.values():
                 for backend in service.backends.values():
@@ -195,21 +213,21 @@
                     backend.incarnation = "g1"
 
     async def kill(self, index):
-        """End an entry as a crash does."""
+        """Crash an entry."""
         node = self.entries.pop(index)
-        self.world.kill(node.board.identity.peer_address)
+        self.simulator.kill(node.board.identity.peer_address)
         await node.close()
 
     async def stop_gracefully(self, index):
-        """Stop an entry as planned; return whether all its work was finished."""
+        """Stop an entry gracefully; return whether it finished all its work."""
         node = self.entries[index]
         finished = await node.stop()
-        self.world.nodes.pop(node.board.identity.peer_address, None)
+        self.simulator.nodes.pop(node.board.identity.peer_address, None)
         self.entries.pop(index, None)
         return finished
 
-    def in_force(self, revision):
-        """Return whether all entries have ``revision`` in force."""
+    def has_applied(self, revision):
+        """Return whether all entries have applied ``revision`` or a later one."""
         return all(
             node.board.configuration.revision >= revision
             for node in self.entries.values()
@@ -218,15 +236,16 @@
     async def request(
         self, index, service, method, target, content=b"", key="", deadline=5.0
     ):
-        """Send one request to an entry; return its answer and the whole body.
+        """Send one request to an entry; return its response and the complete body.
 
-        :raises ConnectionResetError: if the entry dies meanwhile.
-        :raises TruncatedResponseError: if the answer breaks off.
+        :param deadline: seconds from now until the deadline of the request.
+        :raises ConnectionResetError: if the entry is down or crashes meanwhile.
+        :raises TruncatedResponseError: if the body of the response is truncated.
         """
         node = self.entries.get(index)
         if node is None:
-            raise ConnectionResetError("no such entry")
-        await self.world.gate(node.board.identity.peer_address)
+            raise ConnectionResetError("entry is not running")
+        await self.simulator.wait_while_paused(node.board.identity.peer_address)
         headers = [(b"content-type", b"text/plain")]
         if key:
             headers.append((messages.IDEMPOTENCY_KEY_HEADER, key.encode()))
@@ -241,32 +260,32 @@
             key=key,
         )
         address = node.board.identity.peer_address
-        task = self.world.start_incoming(address, _carried_whole(node, request))
+        task = self.simulator.start_incoming(address, _carry_and_read(node, request))
         try:
-            answer, content = await task
+            response, content = await task
         except asyncio.CancelledError:
             if task.cancelled() and self.entries.get(index) is not node:
-                raise ConnectionResetError("the entry has died") from None
+                raise ConnectionResetError("entry crashed during the request") from None
             task.cancel()
             raise
-        await self.world.gate(address)
-        return answer, content
+        await self.simulator.wait_while_paused(address)
+        return response, content
 
     async def close(self):
-        """End all entries at once."""
+        """Crash all entries."""
         for index in list(self.entries):
             await self.kill(index)
 
 
-async def _carried_whole(node, request):
-    """Carry a request and read its answer, as the caller-facing interface does."""
+async def _carry_and_read(node, request):
+    """Carry a request and read its response, as the listener for callers does."""
     lifecycle = node.board.lifecycle
     lifecycle.in_flight += 1
     try:
-        answer = await node.carrier.handle(request)
+        response = await node.router.handle(request)
         try:
-            return answer, await answer.read()
+            return response, await response.read()
         finally:
-            await answer.aclose()
+            await response.aclose()
     finally:
         lifecycle.in_flight -= 1
--- a/boragegw/standins/_wire_world.py
+++ b/boragegw/standins/_wire_installation.py
@@ -1,4 +1,4 @@
-"""Gateway processes, a store, backend servers and callers in memory."""
+"""An in-memory installation of gateway processes, a store and backend servers."""
 
 import asyncio
 import dataclasses
@@ -8,8 +8,8 @@
 from boragegw import gateway, platform
 from boragegw.standins import _memory_network, _wire_backend, _wire_store
 
-STORE = ("store", 1)
-FRONT_PORT = 8548
+STORE_ADDRESS = ("store", 1)
+CALLER_PORT = 8548
 DIRECTORY_PORT = 8546
 READY_PORT = 8542
 CONTROL_PORT = 8544
@@ -19,8 +19,12 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Reply:
-    """What a caller got; ``status`` is 0 for a connection that ended without."""
+class Response:
+    """A response to a caller.
+
+    :param status: HTTP status, or 0 if the connection ended without a response.
+    :param seconds: time from the start of the connection until the end of the response.
+    """
 
     status: int
     headers: dict
@@ -28,26 +32,28 @@
     seconds: float
 
 
-class WireWorld:
-    """A small installation in memory.
+class WireInstallation:
+    """A small installation of the gateway on an in-memory network.
 
-    :param seed: seeds every process.
-
-    ``version`` is the number of the configuration that was published last.
+    :param seed: seeds the random state of every process.
+    :ivar version: number of the configuration that was published last.
     """
 
     def __init__(self, seed=1):
         self.seed = seed
         self.loop = asyncio.get_running_loop()
         self.network = self.loop.network
-        self.store = _wire_store.WireStore(STORE)
+        self.store = _wire_store.WireStore(STORE_ADDRESS)
         self.processes = {}
         self.backends = {}
         self.version = 0
-        self._ids = 0
+        self._request_count = 0
 
     async def start(self, gateways=1, backends=3, data_centres=("dc-a",), **route):
-        """Start a store, a service ``app`` of backend servers, and gateways."""
+        """Start the store, servers of the service ``app`` and gateway processes.
+
+        :param route: arguments of :meth:`route` for the only route.
+        """
         await self.store.start()
         self.publish([self.route(**route)])
         for number in range(backends):
@@ -62,13 +68,13 @@
     # Configuration.
 
     @staticmethod
-    def route(prefix="/", kind="safe", service="app", timeout_s=2.0, **fields):
-        """Return a route as operators publish it."""
+    def route(prefix="/", route_type="safe", service="app", timeout_s=2.0, **fields):
+        """Return a route in the published format."""
         return {
             "name": f"route {prefix}",
             "host": HOST_NAME,
             "prefix": prefix,
-            "route_type": kind,
+            "route_type": route_type,
             "timeout_s": timeout_s,
             "target_latency_s": 0.5,
             "priority": 1,
@@ -78,7 +84,11 @@
         }
 
     def publish(self, routes, services=("app", "other"), version=None, **limits):
-        """Write a configuration."""
+        """Publish a configuration.
+
+        :param version: its number; by default, the last one increased by two.
+        :param limits: limits of the configuration, by their published names.
+        """
         self.version = self.version + 2 if version is None else version
         fields = {"health_path": "/health", "max_conns": 100, "warmup_s": 3.0}
         self.store.put(
@@ -93,18 +103,21 @@
             },
         )
 
-    # Programs.
+    # Servers.
 
     async def add_backend(
         self,
         identity,
         service="app",
         data_centre="dc-a",
-        kind=_wire_backend.WireBackend,
+        backend_class=_wire_backend.WireBackend,
         **fields,
     ):
-        """Start a backend server of class ``kind`` and list it."""
-        backend = kind(identity, (f"host-{identity}", 9000))
+        """Start a backend server of this class and list it in the store.
+
+        :param fields: further arguments of ``WireBackend.entry``.
+        """
+        backend = backend_class(identity, (f"host-{identity}", 9000))
         await backend.start()
         self.backends[identity] = backend
         entry = backend.entry(service, data_centre, **fields)
@@ -114,21 +127,21 @@
     async def add_gateway(
         self, name, data_centre="dc-a", seeds=("gw-0",), limited=False, **fields
     ):
-        """Start a gateway process on a host of its own.
+        """Start a gateway process on its own host.
 
-        :param limited: whether the host's link has the rate that the settings state.
-        :param fields: further ones of :class:`~boragegw.gateway.GatewaySettings`.
+        :param limited: whether the host's link is limited to the rate of the settings.
+        :param fields: further arguments of :class:`~boragegw.gateway.GatewaySettings`.
         """
         settings = platform.PlatformSettings(
             gateway=gateway.GatewaySettings(
                 name=name,
                 data_centre=data_centre,
-                caller_address=(name, FRONT_PORT),
+                caller_address=(name, CALLER_PORT),
                 peer_address=(name, PEER_PORT),
                 seeds=tuple(seeds),
                 **fields,
             ),
-            store=STORE,
+            store=STORE_ADDRESS,
             ready=(name, READY_PORT),
             directory=(name, DIRECTORY_PORT),
             control=(name, CONTROL_PORT),
@@ -140,7 +153,7 @@
         return await asyncio.create_task(self._start_gateway(settings))
 
     async def _start_gateway(self, settings):
-        _memory_network.HOST.set(settings.gateway.name)
+        _memory_network.CURRENT_HOST.set(settings.gateway.name)
         log = gateway.EventLog(
             settings.gateway.name, self.loop.time, os.open(os.devnull, os.O_WRONLY)
         )
@@ -154,41 +167,50 @@
     # Callers.
 
     async def call(self, path="/x", method="GET", body=b"", to="gw-0", **fields):
-        """Send one request as a caller does and return its :class:`Reply`."""
-        self._ids += 1
-        headers = {"x-request-id": f"id-{self._ids}", "x-deadline-ms": "1500"}
+        """Send a request to a gateway process and return the :class:`Response`.
+
+        :param to: name of the gateway process.
+        :param fields: headers, with underscores for hyphens.
+        """
+        self._request_count += 1
+        headers = {"x-request-id": f"id-{self._request_count}", "x-deadline-ms": "1500"}
         headers.update({k.replace("_", "-"): v for k, v in fields.items()})
-        return await self.ask((to, FRONT_PORT), path, method, body, headers)
+        return await self.send_request((to, CALLER_PORT), path, method, body, headers)
 
-    async def ask(self, address, path, method="GET", body=b"", headers=None):
-        """Send one request to any address."""
+    async def send_request(self, address, path, method="GET", body=b"", headers=None):
+        """Send a request to any address and return the :class:`Response`."""
         started = self.loop.time()
         client = gateway.UpstreamConnection(self.loop.time)
         try:
             await self.loop.create_connection(lambda: client, *address)
-            answer = await client.start(
-                request_bytes(path, method, body, headers or {}), lambda _: True
+            response = await client.start(
+                encode_request(path, method, body, headers or {}), lambda _: True
             )
             received = b""
-            while not (answer.complete and not answer.body):
-                received += answer.take()
-                if answer.error is not None:
-                    raise answer.error
-                if not answer.complete:
-                    await answer.changed()
+            while not (response.complete and not response.body):
+                received += response.read_buffered()
+                if response.error is not None:
+                    raise response.error
+                if not response.complete:
+                    await response.changed()
         except (gateway.ExchangeError, OSError):
-            return Reply(0, {}, b"", self.loop.time() - started)
-        found = {k.decode(): v.decode() for k, v in answer.headers}
-        return Reply(answer.status, found, received, self.loop.time() - started)
+            return Response(0, {}, b"", self.loop.time() - started)
+        response_headers = {k.decode(): v.decode() for k, v in response.headers}
+        return Response(
+            response.status, response_headers, received, self.loop.time() - started
+        )
 
     def runs(self, path=None):
-        """Return the (id, target, body) of every run on any backend server."""
+        """Return (request id, target, body) of each run on any backend server.
+
+        :param path: if given, return only the runs of requests for this path.
+        """
         runs = [run for backend in self.backends.values() for run in backend.runs]
         return [run for run in runs if path is None or run[1].decode() == path]
 
 
-def request_bytes(path, method="GET", body=b"", headers=None, host=HOST_NAME):
-    """Return the bytes of a request."""
+def encode_request(path, method="GET", body=b"", headers=None, host=HOST_NAME):
+    """Return the bytes of an HTTP/1.1 request."""
     headers = {"host": host, **(headers or {})}
     lines = [f"{method} {path} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
--- a/boragegw/standins/_wire_store.py
+++ b/boragegw/standins/_wire_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' platform store, in its published form."""
+"""A stand-in for the platform's store that serves its published HTTP interface."""
 
 import asyncio
 import base64
@@ -6,37 +6,40 @@
 import urllib.parse
 
 from boragegw import gateway
-from boragegw.standins import _wire_http
+from boragegw.standins import _http_server
 
 
 class WireStore:
-    """Keys with revisions, ranges in pages, watches.
-
-    :param page: items in a page.
-    :param status: answers each call with this status instead, if set.
-    :param hang: answers nothing while set.
-    :param deaf: watches that begin while set hear nothing until their time is over.
+    """A key-value store with revisions, paged range reads and watches.
+
+    :param page_size: maximum number of items in a page of a range read.
+    :ivar status: if set, status of the responses to all calls.
+    :ivar hang: while set, calls get no response.
+    :ivar stall_watches: watches that start while this is set get no events before
+        they time out.
+    :ivar calls: number of calls received.
+    :ivar compacted_revision: a watch from before this revision gets status 410.
     """
 
-    def __init__(self, address=("store", 1), page=500):
+    def __init__(self, address=("store", 1), page_size=500):
         self.address = address
-        self.page = page
+        self.page_size = page_size
         self.status = None
         self.hang = False
-        self.deaf = False
+        self.stall_watches = False
         self.calls = 0
         self.revision = 0
-        self.history_from = 0
+        self.compacted_revision = 0
         self._items = {}
         self._events = []
         self._changed = asyncio.Event()
 
     async def start(self):
-        """Listen."""
-        return await _wire_http.listen(self._handle, self.address)
+        """Start to listen and return the listener."""
+        return await _http_server.start_server(self._handle, self.address)
 
     def put(self, key, value):
-        """Write ``value``: bytes, or what is then sent as JSON."""
+        """Write ``value``; if it is not bytes, it is encoded as JSON."""
         if not isinstance(value, bytes):
             value = json.dumps(value).encode()
         self.revision += 1
@@ -44,20 +47,20 @@
         item = {"key": key, "value": text, "rev": self.revision, "lease": 0}
         item["created"] = self.revision
         self._items[key] = item
-        self._note(item)
+        self._append_event(item)
 
     def delete(self, key):
         """Delete a key."""
         self.revision += 1
         self._items.pop(key, None)
-        self._note({"key": key, "rev": self.revision, "deleted": True})
+        self._append_event({"key": key, "rev": self.revision, "deleted": True})
 
-    def forget_history(self):
-        """Answer watches from before now with 410."""
+    def compact(self):
+        """Discard the history; watches from before the current revision get 410."""
         self._events.clear()
-        self.history_from = self.revision
+        self.compacted_revision = self.revision
 
-    def _note(self, event):
+    def _append_event(self, event):
         self._events.append(event)
         self._changed.set()
         self._changed = asyncio.Event()
@@ -80,27 +83,29 @@
         prefix = query.get("prefix", "")
         after = query.get("after", "")
         keys = sorted(k for k in self._items if k.startswith(prefix) and k > after)
-        items = [self._items[key] for key in keys[: self.page]]
-        more = len(keys) > self.page
-        return _json({"items": items, "has_more": more, "as_of": self.revision})
+        items = [self._items[key] for key in keys[: self.page_size]]
+        more = len(keys) > self.page_size
+        return _json_response(
+            {"items": items, "has_more": more, "as_of": self.revision}
+        )
 
     async def _watch(self, query):
         after = int(query["after"])
         loop = asyncio.get_running_loop()
         end = loop.time() + int(query.get("wait_ms", "0")) / 1000
-        if self.deaf:
+        if self.stall_watches:
             await asyncio.sleep(max(0.0, end - loop.time()))
         while True:
-            if after < self.history_from:
+            if after < self.compacted_revision:
                 return gateway.EndpointResponse(410)
             events = [e for e in self._events if e["rev"] > after]
-            left = end - loop.time()
-            if events or left < 0.001:
-                return _json({"events": events, "as_of": self.revision})
+            remaining = end - loop.time()
+            if events or remaining < 0.001:
+                return _json_response({"events": events, "as_of": self.revision})
             changed = asyncio.ensure_future(self._changed.wait())
-            await asyncio.wait((changed,), timeout=left)
+            await asyncio.wait((changed,), timeout=remaining)
             changed.cancel()
 
 
-def _json(body):
+def _json_response(body):
     return gateway.EndpointResponse(200, json.dumps(body).encode())
