--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -101,7 +101,7 @@
         "us",
         "service",
         capacity_measurements.control_time(
-            lambda n: 60, lambda n: 480, lambda n: n, lambda node: node._gossip()
+            lambda n: 60, lambda n: 480, lambda n: n, lambda node: node._send_digests()
         ),
     )
     yield fit_line(
